--- a/testsuite/load/main.cc
+++ b/testsuite/load/main.cc
@@ -1,6 +1,6 @@
-// load_sessions: callers of the three kinds before gateways (ryefoldd
-// --sessions), with faults ordered from the stand-in at given seconds. Prints
-// what callers got, and draws it as an SVG picture.
+// load_sessions: generates load on gateways (ryefoldd --sessions) with callers
+// of three kinds, and injects faults through the stand-in at given times.
+// Prints the outcomes that callers got and can draw them as an SVG chart.
 
 #include <event2/event.h>
 #include <signal.h>
@@ -29,22 +29,23 @@
 using std::chrono::steady_clock;
 using testsuite::SessionLink;
 
-/// A caller gives a statement up after this long.
-constexpr milliseconds kPatience{4000};
-/// Pause before a session that ended is opened again.
-constexpr milliseconds kReopen{100};
+/// Time after which a caller abandons a statement.
+constexpr milliseconds kStatementTimeout{4000};
+/// Pause before a closed session is reopened.
+constexpr milliseconds kReopenDelay{100};
 
-/// What callers of one kind do.
-struct Kind {
+/// Workload of the callers of one kind.
+struct CallerKind {
   std::string route;
   milliseconds goal{400};
-  /// Percent of the operations that are single writes, and transactions.
+  /// Percentage of operations that are single writes or transactions; the rest
+  /// are single reads.
   uint32_t writes = 0;
   uint32_t transactions = 0;
 };
 
-const std::vector<Kind>& Kinds() {
-  static const auto* const kinds = new std::vector<Kind>{
+const std::vector<CallerKind>& CallerKinds() {
+  static const auto* const kinds = new std::vector<CallerKind>{
       {"records", milliseconds(200), 20, 40},
       {"gates", milliseconds(600), 0, 10},
       {"renewals", milliseconds(400), 12, 12},
@@ -52,20 +53,20 @@
   return *kinds;
 }
 
-/// A post to the stand-in's control address at a second of the run.
+/// An HTTP POST to the stand-in's control address at a given time of the run.
 struct Fault {
   milliseconds at{0};
   std::string path;
   std::string body;
 };
 
-/// "SECOND PATH BODY"; false when it does not have that form.
+/// Parses "SECOND PATH BODY". Returns false if the text has another form.
 bool ParseFault(const std::string& text, Fault* fault) {
-  std::istringstream words(text);
-  int64_t second = 0;
-  if (!(words >> second >> fault->path) || second < 0) return false;
-  fault->at = std::chrono::seconds(second);
-  std::getline(words >> std::ws, fault->body);
+  std::istringstream input(text);
+  int64_t at_s = 0;
+  if (!(input >> at_s >> fault->path) || at_s < 0) return false;
+  fault->at = std::chrono::seconds(at_s);
+  std::getline(input >> std::ws, fault->body);
   return fault->path.rfind('/', 0) == 0;
 }
 
@@ -75,7 +76,7 @@
   std::vector<Fault> faults;
   uint32_t callers = 8;
   milliseconds pause{20};
-  milliseconds span{10000};
+  milliseconds duration{10000};
   std::string svg;
   uint64_t seed = 1;
 };
@@ -88,147 +89,153 @@
         http_(base_),
         random_(options_.seed) {}
 
-  void Play() {
-    begun_ = steady_clock::now();
-    for (const Kind& kind : Kinds()) {
+  void Execute() {
+    started_at_ = steady_clock::now();
+    for (const CallerKind& kind : CallerKinds()) {
       for (uint32_t i = 0; i < options_.callers; ++i) {
         callers_.push_back(std::make_unique<Caller>());
         callers_.back()->kind = &kind;
-        Open(callers_.back().get());
+        OpenSession(callers_.back().get());
       }
     }
     for (const Fault& fault : options_.faults) {
-      After(base_, fault.at, [this, fault] { Order(fault); });
+      After(base_, fault.at, [this, fault] { InjectFault(fault); });
     }
-    After(base_, options_.span, [this] { event_base_loopbreak(base_); });
+    After(base_, options_.duration, [this] { event_base_loopbreak(base_); });
     event_base_dispatch(base_);
   }
   const Tally& tally() const { return tally_; }
 
  private:
   struct Caller {
-    const Kind* kind = nullptr;
+    const CallerKind* kind = nullptr;
     std::shared_ptr<SessionLink> link;
-    uint64_t life = 0;
-    /// Statements of the present operation that are still to be sent.
-    std::vector<std::string> left;
-    steady_clock::time_point begun;
-    uint64_t statement = 0;
+    uint64_t session_id = 0;
+    /// Unsent statements of the current operation, last one first.
+    std::vector<std::string> unsent;
+    steady_clock::time_point started_at;
+    uint64_t statement_number = 0;
   };
 
-  void Order(const Fault& fault) {
+  void InjectFault(const Fault& fault) {
     std::cerr << "fault " << fault.path << " " << fault.body << "\n";
-    http_.Call(options_.control, "POST", fault.path, fault.body,
-               steady_clock::now() + kPatience,
-               [](const wire::HttpResult& result) {
-                 if (result.code == 200) return;
-                 std::cerr << "load_sessions: a fault was not taken\n";
-               });
+    http_.Call(
+        options_.control, "POST", fault.path, fault.body,
+        steady_clock::now() + kStatementTimeout,
+        [](const wire::HttpResult& result) {
+          if (result.code == 200) return;
+          std::cerr << "load_sessions: fault injection did not return 200\n";
+        });
   }
 
-  void Open(Caller* caller) {
-    const uint64_t life = ++caller->life;
+  void OpenSession(Caller* caller) {
+    const uint64_t session_id = ++caller->session_id;
     const std::string& gateway =
         options_.gateways[random_() % options_.gateways.size()];
-    if (caller->link != nullptr) old_.push_back(std::move(caller->link));
-    caller->left.clear();
+    if (caller->link != nullptr) old_links_.push_back(std::move(caller->link));
+    caller->unsent.clear();
     caller->link = std::make_shared<SessionLink>(
         base_, gateway, caller->kind->route,
-        [this, caller, life](const Reply& reply) {
-          if (life == caller->life) Answered(caller, reply);
+        [this, caller, session_id](const Reply& reply) {
+          if (session_id == caller->session_id) HandleReply(caller, reply);
         },
-        [this, caller, life] {
-          After(base_, kReopen, [this, caller, life] {
-            if (life == caller->life) Lost(caller);
+        [this, caller, session_id] {
+          After(base_, kReopenDelay, [this, caller, session_id] {
+            if (session_id == caller->session_id) HandleLoss(caller);
           });
         });
-    Rest(caller);
+    ScheduleNextOperation(caller);
   }
 
-  void Rest(Caller* caller) {
+  void ScheduleNextOperation(Caller* caller) {
     const milliseconds pause(1 + random_() % (2 * options_.pause.count()));
-    After(base_, pause, [this, caller, life = caller->life] {
-      if (life == caller->life) Begin(caller);
+    After(base_, pause, [this, caller, session_id = caller->session_id] {
+      if (session_id == caller->session_id) StartOperation(caller);
     });
   }
 
-  void Begin(Caller* caller) {
+  void StartOperation(Caller* caller) {
     const std::string item = std::to_string(random_() % 2000);
     const uint64_t choice = random_() % 100;
     if (choice < caller->kind->writes) {
-      caller->left = {"WRITE " + item + " data"};
+      caller->unsent = {"WRITE " + item + " data"};
     } else if (choice < caller->kind->writes + caller->kind->transactions) {
       const bool reads = caller->kind->writes == 0;
-      caller->left = {"COMMIT",
-                      reads ? "READ " + item : "WRITE " + item + " data",
-                      "READ " + item, reads ? "BEGIN READ" : "BEGIN"};
+      caller->unsent = {"COMMIT",
+                        reads ? "READ " + item : "WRITE " + item + " data",
+                        "READ " + item, reads ? "BEGIN READ" : "BEGIN"};
     } else {
-      caller->left = {"READ " + item};
+      caller->unsent = {"READ " + item};
     }
-    caller->begun = steady_clock::now();
-    Send(caller);
+    caller->started_at = steady_clock::now();
+    SendNext(caller);
   }
 
-  void Send(Caller* caller) {
-    const std::string text = caller->left.back();
-    caller->left.pop_back();
-    caller->statement = ++last_statement_;
+  void SendNext(Caller* caller) {
+    const std::string text = caller->unsent.back();
+    caller->unsent.pop_back();
+    caller->statement_number = ++last_statement_number_;
     std::ostringstream id;
-    id << std::hex << caller->statement;
+    id << std::hex << caller->statement_number;
     caller->link->Send(id.str(), text);
-    After(base_, kPatience,
-          [this, caller, statement = caller->statement, life = caller->life] {
-            if (life == caller->life && statement == caller->statement) {
-              Lost(caller);
+    After(base_, kStatementTimeout,
+          [this, caller, statement_number = caller->statement_number,
+           session_id = caller->session_id] {
+            if (session_id == caller->session_id &&
+                statement_number == caller->statement_number) {
+              HandleLoss(caller);
             }
           });
   }
 
-  void Answered(Caller* caller, const Reply& reply) {
-    caller->statement = 0;
-    if (reply.ok() && !caller->left.empty()) {
-      Send(caller);
+  void HandleReply(Caller* caller, const Reply& reply) {
+    caller->statement_number = 0;
+    if (reply.ok() && !caller->unsent.empty()) {
+      SendNext(caller);
       return;
     }
     const bool refused = core::session::MeansNotRun(reply.error) ||
                          reply.error == core::session::ErrorCode::kAborted;
-    Conclude(caller, reply.ok() ? Fate::kInGoal
-                                : (refused ? Fate::kRefused : Fate::kFailed));
+    RecordOutcome(
+        caller, reply.ok() ? Outcome::kInGoal
+                           : (refused ? Outcome::kRefused : Outcome::kFailed));
     if (reply.ok()) {
-      Rest(caller);
+      ScheduleNextOperation(caller);
     } else {
       caller->link->Close();
-      Open(caller);
+      OpenSession(caller);
     }
   }
 
-  /// No answer, or the session is gone.
-  void Lost(Caller* caller) {
-    if (caller->statement != 0) Conclude(caller, Fate::kFailed);
-    caller->statement = 0;
+  /// Handles a timeout or the loss of the session.
+  void HandleLoss(Caller* caller) {
+    if (caller->statement_number != 0) RecordOutcome(caller, Outcome::kFailed);
+    caller->statement_number = 0;
     caller->link->Close();
-    Open(caller);
+    OpenSession(caller);
   }
 
-  void Conclude(Caller* caller, Fate fate) {
+  void RecordOutcome(Caller* caller, Outcome outcome) {
     const auto now = steady_clock::now();
-    const auto took =
-        std::chrono::duration_cast<microseconds>(now - caller->begun);
-    if (fate == Fate::kInGoal && took > caller->kind->goal) fate = Fate::kLate;
+    const auto latency =
+        std::chrono::duration_cast<microseconds>(now - caller->started_at);
+    if (outcome == Outcome::kInGoal && latency > caller->kind->goal) {
+      outcome = Outcome::kLate;
+    }
     tally_.Add(caller->kind->route,
-               std::chrono::duration_cast<milliseconds>(now - begun_), fate,
-               took);
+               std::chrono::duration_cast<milliseconds>(now - started_at_),
+               outcome, latency);
   }
 
   const Options options_;
   event_base* base_;
   wire::HttpClient http_;
   std::mt19937_64 random_;
-  steady_clock::time_point begun_;
+  steady_clock::time_point started_at_;
   std::vector<std::unique_ptr<Caller>> callers_;
-  /// Links may still be on the stack when they are replaced.
-  std::vector<std::shared_ptr<SessionLink>> old_;
-  uint64_t last_statement_ = 0;
+  /// Replaced links stay alive because their callbacks may still be running.
+  std::vector<std::shared_ptr<SessionLink>> old_links_;
+  uint64_t last_statement_number_ = 0;
   Tally tally_;
 };
 
@@ -239,7 +246,7 @@
   options.callers = parsed["callers"].as<uint32_t>();
   options.pause =
       milliseconds(std::max(parsed["pause"].as<int64_t>(), int64_t{1}));
-  options.span = std::chrono::seconds(parsed["seconds"].as<int64_t>());
+  options.duration = std::chrono::seconds(parsed["seconds"].as<int64_t>());
   options.svg = parsed["svg"].as<std::string>();
   options.seed = parsed["seed"].as<uint64_t>();
   if (parsed.count("fault") > 0) {
@@ -247,51 +254,53 @@
       Fault fault;
       if (!ParseFault(text, &fault)) {
         std::cerr << "load_sessions: \"" << text
-                  << "\" is no \"SECOND PATH BODY\"\n";
+                  << "\" does not have the form \"SECOND PATH BODY\"\n";
         return 2;
       }
       options.faults.push_back(fault);
     }
   }
   Run run(options);
-  run.Play();
+  run.Execute();
   std::cout << run.tally().Table();
   if (!options.svg.empty()) {
     std::ofstream file(options.svg);
-    file << run.tally().Svg("requests a second, by what callers got");
+    file << run.tally().Svg("operations per second by outcome");
     if (!file.good()) {
       std::cerr << "load_sessions: cannot write " << options.svg << "\n";
       return 1;
     }
   }
-  return run.tally().count(Fate::kInGoal) > 0 ? 0 : 1;
+  return run.tally().count(Outcome::kInGoal) > 0 ? 0 : 1;
 }
 
 }  // namespace
 }  // namespace ryefold::load
 
 int main(int argc, char** argv) {
-  cxxopts::Options flags("load_sessions", "Callers before gateways.");
-  flags.add_options()("gateway", "ip:port for sessions; may be repeated",
+  cxxopts::Options flags("load_sessions", "Generates load on gateways.");
+  flags.add_options()("gateway",
+                      "ip:port of a gateway for sessions; may be repeated",
                       cxxopts::value<std::vector<std::string>>())(
-      "control", "ip:port of the stand-in, for faults",
+      "control", "ip:port of the stand-in's control interface, for faults",
       cxxopts::value<std::string>()->default_value(""))(
-      "fault", "\"SECOND PATH BODY\"; may be repeated",
+      "fault", "fault as \"SECOND PATH BODY\"; may be repeated",
       cxxopts::value<std::vector<std::string>>())(
-      "callers", "callers of each kind",
+      "callers", "number of callers of each kind",
       cxxopts::value<uint32_t>()->default_value("8"))(
       "pause", "mean pause between operations, ms",
       cxxopts::value<int64_t>()->default_value("20"))(
-      "seconds", "length of the run",
+      "seconds", "duration of the run, s",
       cxxopts::value<int64_t>()->default_value("10"))(
-      "svg", "file for a picture",
+      "svg", "file for an SVG chart",
       cxxopts::value<std::string>()->default_value(""))(
-      "seed", "seed", cxxopts::value<uint64_t>()->default_value("1"));
+      "seed", "seed of the random operations",
+      cxxopts::value<uint64_t>()->default_value("1"));
   signal(SIGPIPE, SIG_IGN);
   try {
     const auto parsed = flags.parse(argc, argv);
     if (parsed.count("gateway") == 0) {
-      std::cerr << "load_sessions: --gateway is needed\n" << flags.help();
+      std::cerr << "load_sessions: --gateway is required\n" << flags.help();
       return 2;
     }
     return ryefold::load::Main(parsed);
--- a/testsuite/load/tally.h
+++ b/testsuite/load/tally.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What callers got, second by second, and a picture of it.
+// Outcome counts per second and latencies of the load tool's operations.
 
 #include <chrono>
 #include <cstdint>
@@ -10,27 +10,28 @@
 
 namespace ryefold::load {
 
-enum class Fate : uint8_t { kInGoal, kLate, kRefused, kFailed };
-constexpr size_t kFates = 4;
+enum class Outcome : uint8_t { kInGoal, kLate, kRefused, kFailed };
+constexpr size_t kOutcomes = 4;
 
-struct Second {
-  uint64_t counts[kFates] = {0, 0, 0, 0};
+struct SecondCounts {
+  uint64_t counts[kOutcomes] = {0, 0, 0, 0};
 };
 
-/// Counts by kind of request.
+/// Collects outcomes and latencies by caller kind.
 class Tally {
  public:
-  void Add(const std::string& kind, std::chrono::milliseconds at, Fate fate,
-           std::chrono::microseconds took);
-  /// One line for each kind: counts and latencies in milliseconds.
+  void Add(const std::string& kind, std::chrono::milliseconds at,
+           Outcome outcome, std::chrono::microseconds latency);
+  /// Returns a text table with one line per kind: outcome counts and latency
+  /// percentiles in milliseconds.
   std::string Table() const;
-  /// Stacked columns, one for each second, over all kinds.
+  /// Returns an SVG chart with one stacked column per second over all kinds.
   std::string Svg(const std::string& title) const;
-  uint64_t count(Fate fate) const;
+  uint64_t count(Outcome outcome) const;
 
  private:
   struct Kind {
-    std::vector<Second> seconds;
+    std::vector<SecondCounts> seconds;
     std::vector<std::chrono::microseconds> latencies;
   };
   std::map<std::string, Kind> kinds_;
--- a/testsuite/process_load/run.sh
+++ b/testsuite/process_load/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The load tool before real gateways: callers of three kinds, a primary that is
-# lost on the way, a table and a picture of what callers got.
+# Runs the load tool against real gateways: callers of three kinds, a crash of
+# the primary during the run, a table and a chart of the outcomes.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 export BUILD="${BUILD:-build}"
@@ -16,7 +16,7 @@
 for kind in records gates renewals; do
   [ "$(awk -v kind="$kind" '$1 == kind {print $2}' "$fleet/table")" -gt 20 ] || fail "no $kind in goal"
 done
-# Writes go on after the loss: about a second and a half of the seven is lost.
+# Writes resume after the crash, which interrupts about 1.5 s of the 7 s run.
 "$BUILD/ryefoldctl" gateways --json --server "127.0.0.1:$(cat "$fleet/gateway-1.ready")" |
   jq -e '.[0].groups[0] | .primary != "db-a" and .writes_held == false' >/dev/null ||
   fail "nobody leads after the loss"
--- a/testsuite/process_operators/run.sh
+++ b/testsuite/process_operators/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Operators race one another, the platform loses an answer and then goes down,
-# and an instance is restarted while it is down.
+# Concurrent publishes by two operators, a lost reply of the platform, a platform
+# outage, and a restart of an instance during the outage.
 cd "$(dirname "$0")/../.."
 . testsuite/standins/process.sh
 
@@ -10,7 +10,7 @@
 version_of() { documents "$1" | jq -r --arg key $KEY '.documents[$key].version'; }
 weight_of() { documents "$1" | jq -r --arg key $KEY '.documents[$key].text | fromjson | .weight'; }
 revision_of() { documents "$1" | jq -r .revision; }
-# change ID VERSION WEIGHT: body of a publish call for the template.
+# change ID VERSION WEIGHT: prints the body of a publish call for the template.
 change() {
   documents instance-1 | jq -c --arg key $KEY --arg id "$1" \
     --argjson version "$2" --argjson weight "$3" \
@@ -29,9 +29,9 @@
 up --instances 3
 eventually "first configuration everywhere" in_force_everywhere 4
 
-# Two operators edit the template from the same version through different
-# instances. One of them has to be told that it was changed under his hands, or
-# the other's change would be undone without a word.
+# Two operators publish changes of the same template version through different
+# instances. One of them must get a conflict; otherwise the other's change would
+# be overwritten without notice.
 for round in $(seq $ROUNDS); do
   seen=$(version_of instance-1)
   publish instance-1 "$(change "first-$round" "$seen" $((10 + round)))" >"$work/first" &
@@ -49,13 +49,13 @@
   check "round $round: one version more" "$(version_of instance-3)" $((seen + 1))
 done
 
-# The same with the command-line tool: both have read the same documents, hours
-# may lie in between, and the second to publish is told of the conflict.
+# The same with the command-line tool: both operators publish against the same
+# base documents, and the second one gets the conflict, however late it is.
 ctl() { # INSTANCE COMMAND...
   "$BUILD/ryefoldctl" "${@:2}" --server "${addresses[$1]}" \
     --admin-key "$(cat "$stack/admin_key")"
 }
-edited() { # WEIGHT: the operators' file with another weight
+edited() { # WEIGHT: prints the configuration file with another weight
   jq --argjson weight "$1" '{templates: {gold: (.templates.gold | .weight = $weight)}}' \
     "$stack/configuration.json"
 }
@@ -69,8 +69,9 @@
 check_that "it is told of the conflict" grep -qi "$KEY" "$work/ctl.two"
 eventually "the first one's change everywhere" in_force_everywhere 26
 
-# The store makes the change and its answer is lost. Guessing "failed" would
-# make the operator publish twice; guessing "done" would be luck.
+# The store applies the change, and its reply is lost. The instance must determine
+# the outcome: reporting a failure would make the operator publish twice, and
+# reporting success without a check could be wrong.
 before=$(revision_of instance-1)
 body=$(change lost "$(version_of instance-1)" 31)
 fault platform '{"lose_put_answers":1}'
@@ -82,8 +83,9 @@
 check "the same change again" "$(code "$answer")" 200
 check "still made once" "$(revision_of instance-1)" $((before + 1))
 
-# The platform goes down. What is accepted stays in force, statements go on, a
-# restarted instance learns from its peers, and nobody is told "accepted".
+# The platform is down. The accepted configuration stays in force, statements are
+# served, a restarted instance gets the configuration from its peers, and no
+# publish is acknowledged.
 fault platform '{"down":true}'
 check "served with the platform down" \
   "$(ask instance-1 $W '{"sql":"SELECT 1"}' | jq -r .outcome)" done
@@ -98,8 +100,8 @@
 during=$(code "$answer")
 check_that "publish during the outage ($during)" test "$during" = 503 -o "$during" = 504
 
-# Back again: what was refused for good never shows, the next change works, and
-# no revision went back on the way.
+# The platform is up again. A definitely refused change never appears, the next
+# change is accepted, and revisions never decrease.
 low=$(revision_of instance-1)
 fault platform '{"down":false}'
 accepted() {
--- a/testsuite/process_sessions/run.sh
+++ b/testsuite/process_sessions/run.sh
@@ -1,16 +1,18 @@
 #!/usr/bin/env bash
-# Sessions through real daemons, and the three walks of docs/OPERATIONS.md: a
-# request that timed out, one that was refused, one whose outcome stayed in
-# doubt. Each is found in the logs by its id, with the line that tells why.
+# Sessions through real daemons, and the three log searches that
+# docs/OPERATIONS.md describes: a request that timed out, one that was refused,
+# and one whose outcome is in doubt. Each is found in the logs by its request id,
+# together with the line that states the cause.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 export BUILD="${BUILD:-build}"
 . scripts/fleet.sh
 fleet_test
 
-# explained ID PATTERN WHAT: the walk from the id shows a line that matches.
+# explained ID PATTERN WHAT: checks that `ryefoldctl explain ID` prints a line
+# that matches PATTERN.
 explained() {
-  sleep 0.6 # lines are written some times a second
+  sleep 0.6 # log lines are flushed a few times per second
   "$BUILD/ryefoldctl" explain "$1" "$fleet"/gateway-*.log >"$fleet/explained" ||
     fail "$3: the id is not in the logs"
   grep -qE "$2" "$fleet/explained" || {
@@ -33,7 +35,7 @@
 [[ "$(ask r1 'READ card-17')" == COMPLETE* ]] || fail "a read was not done"
 explained w1 'event=answered request=w1 .*outcome=none database=db-a' "an ordinary write"
 
-# What operators see: the primary, who orders promotions, what is in force.
+# The operators' view: the primary, the configuration in force, held writes.
 status="$("$BUILD/ryefoldctl" gateways --json --server "127.0.0.1:$(cat "$fleet/gateway-1.ready")" \
   --server "127.0.0.1:$(cat "$fleet/gateway-2.ready")")"
 [ "$(jq -r '.[0].groups[0].primary' <<<"$status")" = db-a ] || fail "no primary in: $status"
@@ -47,22 +49,23 @@
   fail "a gateway that is not there was shown"
 fi
 
-# A commit is on its way when the connection to the database breaks. Nobody can
-# say whether it happened, and the caller must not be told otherwise.
+# The reply to a commit in flight is lost. The outcome is unknown, and the caller
+# must get INDOUBT.
 [[ "$(ask b1 BEGIN)" == COMPLETE* ]] || fail "no transaction"
 [[ "$(ask b2 'WRITE card-18 renewed')" == COMPLETE* ]] || fail "no write in the transaction"
 fleet_fault /fault/mute '{"id":"db-a"}'
 [[ "$(ask doubt COMMIT)" == "ERROR INDOUBT"* ]] || fail "a lost commit was not told as doubt"
 explained doubt 'request=doubt .*outcome=in_doubt database=db-a' "a commit in doubt"
 
-# A read that only the primary may serve gets no answer, since the path to the
-# primary is silent.
+# A read that only the primary may serve gets no reply, because the connection to
+# the primary drops data.
 slow="$(ask late 'READ card-17')"
 [[ "$slow" == "ERROR TIMEOUT"* || "$slow" == "ERROR BUSY"* || "$slow" == COMPLETE* ]] ||
   fail "a silent database led to: $slow"
 explained late 'request=late' "a read before a silent database"
 
-# The primary dies. Writes are refused, as not run, until another leads.
+# The primary crashes. Writes are refused as not executed until another database
+# is promoted.
 fleet_fault /fault/crash '{"id":"db-a"}'
 refused=""
 for ((turn = 0; turn < 40; ++turn)); do
--- a/testsuite/support/event/session_link.h
+++ b/testsuite/support/event/session_link.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// A caller's session with a gateway, over a socket.
+// A caller's session with a gateway over a TCP socket.
 
 #include <functional>
 #include <string>
@@ -14,29 +14,30 @@
 
 class SessionLink : public platform::LineHandler {
  public:
-  using OnAnswer = std::function<void(const core::session::Reply&)>;
+  using ReplyCallback = std::function<void(const core::session::Reply&)>;
 
-  /// `gone` is called when the session is refused or breaks.
+  /// Connects and starts a session on the route. `on_closed` is called when the
+  /// gateway refuses the session or the connection breaks.
   SessionLink(event_base* base, const std::string& address,
-              const std::string& route, OnAnswer answered,
-              std::function<void()> gone)
+              const std::string& route, ReplyCallback on_reply,
+              std::function<void()> on_closed)
       : channel_(base, address, this),
-        answered_(std::move(answered)),
-        gone_(std::move(gone)) {
+        on_reply_(std::move(on_reply)),
+        on_closed_(std::move(on_closed)) {
     channel_.output()->append("START " + route + " test\r\n");
   }
   void OnConnected() override { channel_.Flush(); }
   void OnTurnEnd() override {}
-  void OnBroken(const std::string& /*why*/) override { gone_(); }
+  void OnBroken(const std::string& /*why*/) override { on_closed_(); }
   void OnLine(std::string_view line) override {
     if (!started_) {
       started_ = line.rfind("READY", 0) == 0;
-      if (!started_) gone_();
+      if (!started_) on_closed_();
       return;
     }
     if (decoder_.Feed(line, false) ==
         platform::ReplyDecoder::Result::kComplete) {
-      answered_(decoder_.TakeReply());
+      on_reply_(decoder_.TakeReply());
     }
   }
   void Send(const std::string& id, const std::string& text) {
@@ -47,8 +48,8 @@
 
  private:
   platform::LineChannel channel_;
-  OnAnswer answered_;
-  std::function<void()> gone_;
+  ReplyCallback on_reply_;
+  std::function<void()> on_closed_;
   bool started_ = false;
   platform::ReplyDecoder decoder_;
 };
--- a/testsuite/support/random/seeds.h
+++ b/testsuite/support/random/seeds.h
@@ -1,17 +1,18 @@
 #pragma once
 
-// Which seeds a random test plays: fixed ones in CI, others by hand.
+// Seed selection for random tests: fixed in CI, overridable by environment.
 
 #include <cstdint>
 #include <cstdlib>
 
 namespace ryefold::testsuite {
 
-/// A number from the environment, or `otherwise`. Tests take their first seed
-/// from RYEFOLD_SEED and how many to play from RYEFOLD_RUNS.
-inline uint64_t FromEnvironment(const char* name, uint64_t otherwise) {
+/// Returns an unsigned number from an environment variable, or `default_value`
+/// if it is not set. RYEFOLD_SEED is the first seed, RYEFOLD_RUNS the number of
+/// seeds.
+inline uint64_t FromEnvironment(const char* name, uint64_t default_value) {
   const char* text = std::getenv(name);
-  return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? default_value : std::strtoull(text, nullptr, 10);
 }
 
 }  // namespace ryefold::testsuite
