--- a/testsuite/session_directory/random_test.cc
+++ b/testsuite/session_directory/random_test.cc
@@ -1,6 +1,7 @@
-// Routes move between groups, come and go, and databases leave and are replaced
-// at the same addresses, while callers work. Every statement that reaches a
-// database is checked against what was configured and listed when it was sent.
+// Random changes of routes and databases while callers send statements: routes
+// are added, removed and moved between groups; databases drain and are replaced
+// at the same addresses. Every statement sent to a database is checked against
+// the configuration and the roster at the time of sending.
 
 #include <gtest/gtest.h>
 
@@ -25,58 +26,60 @@
 constexpr uint64_t kSeeds = 300;
 constexpr int kGroups = 3;
 constexpr CallerId kCallers = 8;
-/// A leaving replica gets nothing new; a leaving primary only until it is given
-/// up for its successor.
-constexpr milliseconds kLeavingPrimary{5100};
+/// Time from the start of draining after which a database must get no
+/// statements. A draining primary gets them until its successor replaces it.
+constexpr milliseconds kDrainingPrimaryLimit{5100};
 
-/// Groups of databases that answer everything, and what is configured.
-class World : public core::session::SessionPort {
+/// Simulates callers, the configuration, and database groups that answer every
+/// call.
+class DirectoryModel : public core::session::SessionPort {
  public:
-  explicit World(uint64_t seed) : random_(seed) {
+  explicit DirectoryModel(uint64_t seed) : random_(seed) {
     for (int i = 0; i < kGroups; ++i) {
       for (int n = 0; n < 3; ++n) AddDatabase(GroupName(i));
     }
     for (const char* name : {"one", "two", "three", "four"}) {
-      MoveRoute(name, GroupName(static_cast<int>(Draw(kGroups))));
+      MoveRoute(name, GroupName(static_cast<int>(RandomBelow(kGroups))));
     }
     core::session::ProxySettings settings;
     settings.failure_domain = "a";
     proxy_ = std::make_unique<Proxy>(settings, this, nullptr, nullptr);
-    Tell();
+    PublishDirectory();
     proxy_->SetInstances(Now(), "i0", {{"i0", "a"}});
     Tick();
-    for (CallerId id = 1; id <= kCallers; ++id) Open(id);
+    for (CallerId id = 1; id <= kCallers; ++id) OpenSession(id);
   }
 
-  void Play(milliseconds span) {
-    const TimePoint end = Now() + span;
+  void RunFor(milliseconds duration) {
+    const TimePoint end = Now() + duration;
     while (Now() < end) {
-      clock_.RunUntil(Now() + milliseconds(1 + Draw(300)));
-      Change();
+      clock_.RunUntil(Now() + milliseconds(1 + RandomBelow(300)));
+      ApplyRandomChange();
     }
   }
-  uint64_t answered() const { return answered_; }
+  uint64_t successful_replies() const { return successful_replies_; }
 
   void AcceptCaller(CallerId id) override {
-    clock_.After(milliseconds(1), [this, id] { Ask(id); });
+    clock_.After(milliseconds(1), [this, id] { SendStatement(id); });
   }
   void ReplyToCaller(CallerId id, const Reply& reply) override {
     Caller& caller = callers_.at(id);
     if (reply.ok()) {
-      ++answered_;
+      ++successful_replies_;
     } else if (reply.error == ErrorCode::kNoRoute) {
       EXPECT_EQ(table_.routes.count(caller.route), 0U)
-          << "told that " << caller.route << " is not configured";
+          << "got NoRoute although " << caller.route << " is configured";
     }
     const bool open = reply.state == TransactionState::kOpen;
-    if (open && !caller.open) caller.group = caller.asked_group;
+    if (open && !caller.open) caller.transaction_group = caller.sent_group;
     caller.open = open;
     caller.failed = reply.state == TransactionState::kFailed;
-    clock_.After(milliseconds(1 + Draw(80)), [this, id] { Ask(id); });
+    clock_.After(milliseconds(1 + RandomBelow(80)),
+                 [this, id] { SendStatement(id); });
   }
   void CloseCaller(CallerId id, ErrorCode /*error*/,
                    const std::string& /*text*/) override {
-    clock_.After(milliseconds(20), [this, id] { Open(id); });
+    clock_.After(milliseconds(20), [this, id] { OpenSession(id); });
   }
 
   void OpenConnection(ConnectionId connection, const Database& database,
@@ -84,8 +87,9 @@
     connections_[connection] = {database.id, false};
     clock_.After(milliseconds(12), [this, connection] {
       if (connections_.count(connection) == 0) return;
-      const bool there = databases_.count(connections_[connection].database);
-      if (there) {
+      const bool is_running =
+          databases_.count(connections_[connection].database);
+      if (is_running) {
         proxy_->ConnectionOpened(Now(), connection);
       } else {
         proxy_->ConnectionRefused(Now(), connection, ErrorCode::kWrongDatabase);
@@ -94,12 +98,12 @@
   }
   void SendCalls(ConnectionId connection,
                  const std::vector<BackendCall>& calls) override {
-    milliseconds delay(1 + Draw(25));
+    milliseconds delay(1 + RandomBelow(25));
     for (const BackendCall& call : calls) {
-      if (call.kind == CallKind::kVerbatim) Check(connection, call);
+      if (call.kind == CallKind::kVerbatim) CheckDestination(connection, call);
       clock_.After(delay, [this, connection, call] {
         if (connections_.count(connection) == 0) return;
-        const Reply reply = Answer(&connections_[connection], call);
+        const Reply reply = MakeReply(&connections_[connection], call);
         proxy_->CallAnswered(Now(), connection, reply);
       });
     }
@@ -111,10 +115,10 @@
  private:
   struct Caller {
     std::string route;
-    /// Group that the route led to when the last statement was sent.
-    std::string asked_group;
+    /// Group of the route when the last statement was sent.
+    std::string sent_group;
     /// Group of the open transaction.
-    std::string group;
+    std::string transaction_group;
     bool open = false;
     bool failed = false;
   };
@@ -131,7 +135,7 @@
   static std::string GroupName(int number) {
     return "group-" + std::to_string(number);
   }
-  uint64_t Draw(uint64_t below) { return random_() % below; }
+  uint64_t RandomBelow(uint64_t limit) { return random_() % limit; }
   TimePoint Now() const { return clock_.now(); }
 
   void Tick() {
@@ -143,8 +147,8 @@
     Database database;
     database.id = "db-" + std::to_string(++last_database_);
     database.group = group;
-    // Addresses are used again, also by other groups.
-    database.address = "10.0.0.1:" + std::to_string(1000 + Draw(12));
+    // Addresses are reused, also across groups.
+    database.address = "10.0.0.1:" + std::to_string(1000 + RandomBelow(12));
     database.failure_domain = "a";
     if (groups_[group].primary.empty()) {
       groups_[group].primary = database.id;
@@ -156,54 +160,55 @@
     Route route;
     route.name = name;
     route.group = group;
-    route.freshness = static_cast<Freshness>(Draw(3));
+    route.freshness = static_cast<Freshness>(RandomBelow(3));
     route.max_staleness = milliseconds(1500);
     table_.routes[name] = route;
     for (int i = 0; i < kGroups; ++i) {
       table_.groups[GroupName(i)].connection_limit = 21;
     }
   }
-  void Tell() {
+  void PublishDirectory() {
     ++table_.version;
     proxy_->OnRoutes(Now(), table_);
     proxy_->OnRoster(Now(), databases_);
   }
 
-  std::string SomeDatabase() {
+  std::string RandomDatabase() {
     auto it = databases_.begin();
-    std::advance(it, Draw(databases_.size()));
+    std::advance(it, RandomBelow(databases_.size()));
     return it->first;
   }
 
-  void Change() {
+  void ApplyRandomChange() {
     const char* names[] = {"one", "two", "three", "four", "five"};
-    const std::string name = names[Draw(5)];
-    switch (Draw(6)) {
+    const std::string name = names[RandomBelow(5)];
+    switch (RandomBelow(6)) {
       case 0:
       case 1:
-        MoveRoute(name, GroupName(static_cast<int>(Draw(kGroups))));
+        MoveRoute(name, GroupName(static_cast<int>(RandomBelow(kGroups))));
         break;
       case 2:
         table_.routes.erase(name);
         break;
       case 3:
-        Leave(SomeDatabase());
+        DrainDatabase(RandomDatabase());
         break;
       case 4:
-        Promote(GroupName(static_cast<int>(Draw(kGroups))));
+        Promote(GroupName(static_cast<int>(RandomBelow(kGroups))));
         break;
       default:
         break;
     }
-    Tell();
+    PublishDirectory();
   }
 
-  /// A database says that it leaves; another one comes, and it ends later.
-  void Leave(const std::string& id) {
+  /// Starts draining a database and adds a replacement; the database stops
+  /// later.
+  void DrainDatabase(const std::string& id) {
     Database& database = databases_.at(id);
     if (database.draining) return;
     database.draining = true;
-    leaving_since_[id] = Now();
+    draining_since_[id] = Now();
     AddDatabase(database.group);
     clock_.After(milliseconds(7000), [this, id] {
       Group& group = groups_.at(databases_.at(id).group);
@@ -233,51 +238,54 @@
     }
   }
 
-  void Open(CallerId id) {
+  void OpenSession(CallerId id) {
     const char* names[] = {"one", "two", "three", "four", "five"};
     callers_[id] = Caller();
-    callers_[id].route = names[Draw(5)];
+    callers_[id].route = names[RandomBelow(5)];
     proxy_->CallerStarted(Now(), id, callers_[id].route);
   }
 
-  void Ask(CallerId id) {
+  void SendStatement(CallerId id) {
     Caller& caller = callers_.at(id);
     const auto route = table_.routes.find(caller.route);
-    caller.asked_group =
-        route == table_.routes.end() ? "" : route->second.group;
+    caller.sent_group = route == table_.routes.end() ? "" : route->second.group;
     const std::string statement = std::to_string(++last_statement_);
-    asked_[statement] = id;
-    Statement asked = MakeStatement(StatementKind::kRead, "READ k");
-    if (caller.failed || (caller.open && Draw(3) == 0)) {
-      asked = MakeStatement(StatementKind::kCommit, "COMMIT");
-    } else if (!caller.open && Draw(4) == 0) {
-      asked = MakeStatement(StatementKind::kBegin, "BEGIN");
-    } else if (Draw(3) == 0) {
-      asked = MakeStatement(StatementKind::kWrite, "WRITE k v");
+    caller_by_statement_[statement] = id;
+    Statement message = MakeStatement(StatementKind::kRead, "READ k");
+    if (caller.failed || (caller.open && RandomBelow(3) == 0)) {
+      message = MakeStatement(StatementKind::kCommit, "COMMIT");
+    } else if (!caller.open && RandomBelow(4) == 0) {
+      message = MakeStatement(StatementKind::kBegin, "BEGIN");
+    } else if (RandomBelow(3) == 0) {
+      message = MakeStatement(StatementKind::kWrite, "WRITE k v");
     }
-    proxy_->CallerStatement(Now(), id, statement, asked);
+    proxy_->CallerStatement(Now(), id, statement, message);
   }
 
-  /// Whether the statement may go there, by what is known now.
-  void Check(ConnectionId connection, const BackendCall& call) {
-    const Caller& caller = callers_.at(asked_.at(call.id));
+  /// Checks that the statement may be sent on the connection under the current
+  /// configuration.
+  void CheckDestination(ConnectionId connection, const BackendCall& call) {
+    const Caller& caller = callers_.at(caller_by_statement_.at(call.id));
     const std::string& id = connections_.at(connection).database;
-    ASSERT_EQ(databases_.count(id), 1U) << "sent to a database that is gone";
+    ASSERT_EQ(databases_.count(id), 1U)
+        << "sent to a database that has stopped";
     const std::string& group = databases_.at(id).group;
     if (caller.open) {
-      EXPECT_EQ(group, caller.group) << "left its transaction's group";
+      EXPECT_EQ(group, caller.transaction_group)
+          << "sent to another group than its transaction's";
       return;
     }
-    // A change while it waits in the queue leaves it where it was sent.
-    EXPECT_EQ(group, caller.asked_group) << "sent to another group";
+    // A route change does not move a statement that is already queued.
+    EXPECT_EQ(group, caller.sent_group)
+        << "sent to another group than its route's";
     if (!databases_.at(id).draining) return;
-    const bool leads =
+    const bool is_primary =
         groups_.at(group).primary == id || databases_.at(id).claims_primary;
-    EXPECT_LT(Now() - leaving_since_.at(id), kLeavingPrimary)
-        << id << " leaves, " << (leads ? "leads" : "follows");
+    EXPECT_LT(Now() - draining_since_.at(id), kDrainingPrimaryLimit)
+        << id << " is draining, role " << (is_primary ? "primary" : "replica");
   }
 
-  Reply Answer(Connection* connection, const BackendCall& call) {
+  Reply MakeReply(Connection* connection, const BackendCall& call) {
     Reply reply;
     const std::string id = connection->database;
     if (databases_.count(id) == 0) return reply;
@@ -313,30 +321,30 @@
   RouteTable table_;
   Roster databases_;
   std::map<std::string, Group> groups_;
-  std::map<std::string, TimePoint> leaving_since_;
+  std::map<std::string, TimePoint> draining_since_;
   std::map<CallerId, Caller> callers_;
   std::map<ConnectionId, Connection> connections_;
-  std::map<std::string, CallerId> asked_;
+  std::map<std::string, CallerId> caller_by_statement_;
   uint64_t last_database_ = 0;
   uint64_t last_statement_ = 0;
-  uint64_t answered_ = 0;
+  uint64_t successful_replies_ = 0;
   std::unique_ptr<Proxy> proxy_;
 };
 
-// A statement that goes to a group that its route does not lead to reads or
-// writes another workspace's data. One that goes to a database that is about to
-// end is cut off.
+// A statement sent to a group other than its route's reads or writes another
+// workspace's data. A statement sent to a draining database may be aborted when
+// the database stops.
 TEST(SessionDirectory, SendsStatementsOnlyWhereTheyMayGo) {
   const uint64_t first = FromEnvironment("RYEFOLD_SEED", kFirstSeed);
   const uint64_t seeds = FromEnvironment("RYEFOLD_RUNS", kSeeds);
-  uint64_t answered = 0;
+  uint64_t successful_replies = 0;
   for (uint64_t seed = first; seed < first + seeds; ++seed) {
-    World world(seed);
-    world.Play(milliseconds(20000));
-    answered += world.answered();
+    DirectoryModel model(seed);
+    model.RunFor(milliseconds(20000));
+    successful_replies += model.successful_replies();
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
   }
-  EXPECT_GT(answered, 500 * seeds);
+  EXPECT_GT(successful_replies, 500 * seeds);
 }
 
 }  // namespace
--- a/testsuite/session_workspaces/workspaces_test.cc
+++ b/testsuite/session_workspaces/workspaces_test.cc
@@ -1,5 +1,5 @@
-// Callers of several workspaces in virtual time: whose connections their
-// statements run on, and what a key that was taken away ends.
+// Callers of several workspaces in virtual time: workspace isolation of
+// database connections, and the effects of a removed key.
 
 #include <gtest/gtest.h>
 
@@ -17,11 +17,11 @@
 constexpr KeyDigest kKeyOfV{1, 1};
 constexpr KeyDigest kOtherKeyOfV{1, 2};
 constexpr KeyDigest kKeyOfW{2, 1};
-constexpr KeyDigest kNobodysKey{9, 9};
+constexpr KeyDigest kUnlistedKey{9, 9};
 
 class WorkspacesTest : public ProxyTest {
  protected:
-  RouteTable Table(uint64_t version, std::vector<KeyDigest> keys_of_v) {
+  RouteTable MakeRoutes(uint64_t version, std::vector<KeyDigest> keys_of_v) {
     RouteTable table = TestRoutes(fleet_.connection_limit);
     table.version = version;
     table.routes["open"] = table.routes["primary"];
@@ -33,28 +33,28 @@
     table.workspaces.workspaces["w"] = {"w", 0, std::nullopt, {kKeyOfW}};
     return table;
   }
-  void MakeWithWorkspaces(uint32_t instances) {
-    fleet_.routes = Table(2, {kKeyOfV, kOtherKeyOfV});
-    Make(instances);
+  void CreateInstancesWithWorkspaces(uint32_t instances) {
+    fleet_.routes = MakeRoutes(2, {kKeyOfV, kOtherKeyOfV});
+    CreateInstances(instances);
   }
-  void TellAll(const RouteTable& table) {
-    for (const auto& host : hosts_) Tell(host.get(), table);
+  void SetRoutesOnAll(const RouteTable& table) {
+    for (const auto& host : hosts_) SetRoutes(host.get(), table);
   }
-  void Tell(InstanceHost* host, const RouteTable& table) {
+  void SetRoutes(InstanceHost* host, const RouteTable& table) {
     host->proxy()->OnRoutes(clock_.now(), table);
   }
-  void StartWith(size_t host, CallerId caller, const KeyDigest& key,
-                 const std::string& route = "primary") {
+  void StartSessionWithKey(size_t host, CallerId caller, const KeyDigest& key,
+                           const std::string& route = "primary") {
     hosts_[host]->proxy()->CallerStarted(clock_.now(), caller, route, key);
   }
   void OnClosed(CallerId caller, ErrorCode error) override {
     closed_[caller] = error;
   }
-  /// Every statement that ran did so on a connection of the workspace that its
-  /// text names as the item.
-  void CheckOwners() {
+  /// Checks that every statement was sent on a connection of the workspace that
+  /// its text names as the item; "-" stands for no workspace.
+  void CheckConnectionWorkspaces() {
     for (const auto& host : hosts_) {
-      for (const auto& [text, workspace] : host->sent_for()) {
+      for (const auto& [text, workspace] : host->sent_statements()) {
         const std::string item = text.substr(text.find(' ') + 1, 1);
         EXPECT_EQ(workspace, item == "-" ? "" : item) << text;
       }
@@ -64,186 +64,192 @@
   std::map<CallerId, ErrorCode> closed_;
 };
 
-// A caller is served under a key that is not configured.
+// A caller whose key is not configured must be refused, except on a route that
+// is open to all.
 TEST_F(WorkspacesTest, RefuseAnUnknownKeyAtOnce) {
-  MakeWithWorkspaces(1);
-  StartWith(0, 1, kNobodysKey);
+  CreateInstancesWithWorkspaces(1);
+  StartSessionWithKey(0, 1, kUnlistedKey);
   EXPECT_EQ(closed_.at(1), ErrorCode::kUnknownKey);
-  StartWith(0, 2, kNobodysKey, "open");
+  StartSessionWithKey(0, 2, kUnlistedKey, "open");
   EXPECT_TRUE(hosts_[0]->accepted(2));
 }
 
-// A statement runs on a connection that was opened for another workspace.
+// A statement must not run on a connection that was opened for another
+// workspace.
 TEST_F(WorkspacesTest, NeverShareAConnection) {
-  MakeWithWorkspaces(1);
+  CreateInstancesWithWorkspaces(1);
   for (CallerId caller = 1; caller <= 9; ++caller) {
-    const KeyDigest keys[] = {kKeyOfV, kKeyOfW, kNobodysKey};
-    StartWith(0, caller, keys[caller % 3],
-              caller % 3 == 2 ? "open" : "primary");
+    const KeyDigest keys[] = {kKeyOfV, kKeyOfW, kUnlistedKey};
+    StartSessionWithKey(0, caller, keys[caller % 3],
+                        caller % 3 == 2 ? "open" : "primary");
   }
   for (int round = 0; round < 40; ++round) {
     const CallerId caller = 1 + round * 7 % 9;
     const char* items[] = {"v", "w", "-"};
-    Ask(0, caller, StatementKind::kRead,
-        std::string("READ ") + items[caller % 3]);
+    Execute(0, caller, StatementKind::kRead,
+            std::string("READ ") + items[caller % 3]);
   }
-  CheckOwners();
+  CheckConnectionWorkspaces();
 }
 
-// The same where statements run at keepers: the workspace has to come along.
+// The same when statements are forwarded to keepers: the workspace must be
+// forwarded with the statement.
 TEST_F(WorkspacesTest, NeverShareAConnectionOfAKeeper) {
   fleet_.connection_limit = 5;
-  MakeWithWorkspaces(6);
+  CreateInstancesWithWorkspaces(6);
   for (CallerId caller = 1; caller <= 18; ++caller) {
-    StartWith(caller % 6, caller, caller % 2 == 0 ? kKeyOfV : kKeyOfW);
+    StartSessionWithKey(caller % 6, caller,
+                        caller % 2 == 0 ? kKeyOfV : kKeyOfW);
   }
   for (int round = 0; round < 60; ++round) {
     const CallerId caller = 1 + round * 7 % 18;
-    EXPECT_EQ(Ask(caller % 6, caller, StatementKind::kRead,
-                  caller % 2 == 0 ? "READ v" : "READ w"),
+    EXPECT_EQ(Execute(caller % 6, caller, StatementKind::kRead,
+                      caller % 2 == 0 ? "READ v" : "READ w"),
               ErrorCode::kNone);
   }
-  EXPECT_GT(fleet_.forwarded, 10U);
-  CheckOwners();
+  EXPECT_GT(fleet_.forwarded_count, 10U);
+  CheckConnectionWorkspaces();
 }
 
-// An instance has connections enough for a few workspaces and callers of more:
-// those that find none must not wait for ever.
+// An instance has connections for a few workspaces and callers of more. Callers
+// without a free connection must not wait forever.
 TEST_F(WorkspacesTest, ManyWorkspacesTakeTurns) {
-  fleet_.routes = Table(2, {kKeyOfV});
+  fleet_.routes = MakeRoutes(2, {kKeyOfV});
   for (uint64_t i = 0; i < 30; ++i) {
     Workspace workspace;
     workspace.name = "x" + std::to_string(i);
     workspace.keys = {{100 + i, 0}};
     fleet_.routes->workspaces.workspaces[workspace.name] = workspace;
   }
-  Make(1);
+  CreateInstances(1);
   for (CallerId caller = 1; caller <= 30; ++caller) {
-    StartWith(0, caller, {99 + caller, 0});
+    StartSessionWithKey(0, caller, {99 + caller, 0});
   }
   for (int round = 0; round < 3; ++round) {
     for (CallerId caller = 1; caller <= 30; ++caller) {
       Send(0, caller, StatementKind::kRead, "READ k");
     }
-    Run(1000);
+    RunFor(1000);
     for (CallerId caller = 1; caller <= 30; ++caller) {
       ASSERT_EQ(replies_.count(caller), 1U) << caller;
     }
   }
 }
 
-// A read that waits for its workspace's first connection has one opened at each
-// database, each of which takes a slot there.
+// A read that waits for its workspace's first connection must open only one.
+// Opening one at every database would take a connection slot on each.
 TEST_F(WorkspacesTest, AWaitingReadOpensOneConnection) {
   fleet_.connection_limit = 140;
-  fleet_.routes = Table(2, {});
+  fleet_.routes = MakeRoutes(2, {});
   for (uint64_t i = 0; i < 6; ++i) {
     Workspace workspace;
     workspace.name = "x" + std::to_string(i);
     workspace.keys = {{100 + i, 0}};
     fleet_.routes->workspaces.workspaces[workspace.name] = workspace;
   }
-  Make(1);
-  StartWith(0, 50, kNobodysKey, "open");
+  CreateInstances(1);
+  StartSessionWithKey(0, 50, kUnlistedKey, "open");
   EXPECT_EQ(Write(0, 50), ErrorCode::kNone);
   replies_.clear();
-  const uint32_t before = hosts_[0]->opened();
+  const uint32_t before = hosts_[0]->opened_connections();
   for (CallerId caller = 1; caller <= 6; ++caller) {
-    StartWith(0, caller, {99 + caller, 0}, "bounded");
+    StartSessionWithKey(0, caller, {99 + caller, 0}, "bounded");
     Send(0, caller, StatementKind::kRead, "READ k");
-    Run(3);
+    RunFor(3);
   }
-  Run(200);
+  RunFor(200);
   EXPECT_EQ(replies_.size(), 6U);
-  EXPECT_EQ(hosts_[0]->opened() - before, 6U);
+  EXPECT_EQ(hosts_[0]->opened_connections() - before, 6U);
 }
 
-// A key is taken away while its session is idle: the next statement must not
-// run, and the session ends.
-TEST_F(WorkspacesTest, ADroppedKeyEndsAnIdleSession) {
-  MakeWithWorkspaces(1);
-  StartWith(0, 1, kKeyOfV);
-  StartWith(0, 2, kOtherKeyOfV);
+// A key is removed while its session is idle: the session must be closed.
+// Sessions under other keys of the workspace continue.
+TEST_F(WorkspacesTest, ARemovedKeyClosesAnIdleSession) {
+  CreateInstancesWithWorkspaces(1);
+  StartSessionWithKey(0, 1, kKeyOfV);
+  StartSessionWithKey(0, 2, kOtherKeyOfV);
   EXPECT_EQ(Write(0, 1), ErrorCode::kNone);
-  TellAll(Table(3, {kOtherKeyOfV}));
-  Run(100);
+  SetRoutesOnAll(MakeRoutes(3, {kOtherKeyOfV}));
+  RunFor(100);
   EXPECT_EQ(closed_.at(1), ErrorCode::kUnknownKey);
   EXPECT_EQ(closed_.count(2), 0U);
   EXPECT_EQ(Write(0, 2), ErrorCode::kNone);
 }
 
-// The same inside a transaction: what it wrote must not be kept.
-TEST_F(WorkspacesTest, ADroppedKeyRollsATransactionBack) {
-  MakeWithWorkspaces(1);
-  StartWith(0, 1, kKeyOfV);
-  EXPECT_EQ(Ask(0, 1, StatementKind::kBegin, "BEGIN"), ErrorCode::kNone);
+// A key is removed during a transaction: its writes must not be committed.
+TEST_F(WorkspacesTest, ARemovedKeyRollsBackATransaction) {
+  CreateInstancesWithWorkspaces(1);
+  StartSessionWithKey(0, 1, kKeyOfV);
+  EXPECT_EQ(Execute(0, 1, StatementKind::kBegin, "BEGIN"), ErrorCode::kNone);
   EXPECT_EQ(Write(0, 1), ErrorCode::kNone);
-  const std::string written = "s" + std::to_string(last_id_);
-  TellAll(Table(3, {kOtherKeyOfV}));
-  Run(100);
+  const std::string write_id = "s" + std::to_string(last_statement_id_);
+  SetRoutesOnAll(MakeRoutes(3, {kOtherKeyOfV}));
+  RunFor(100);
   EXPECT_EQ(closed_.at(1), ErrorCode::kUnknownKey);
-  EXPECT_EQ(cluster_.TimesCommitted(written), 0U);
+  EXPECT_EQ(cluster_.TimesCommitted(write_id), 0U);
 }
 
-// The same while a statement runs: its answer is delivered, nothing follows.
-TEST_F(WorkspacesTest, ADroppedKeyLetsARunningStatementEnd) {
-  MakeWithWorkspaces(1);
-  StartWith(0, 1, kKeyOfV);
+// A key is removed while a statement runs: its reply must be delivered before
+// the session is closed.
+TEST_F(WorkspacesTest, ARemovedKeyLetsARunningStatementFinish) {
+  CreateInstancesWithWorkspaces(1);
+  StartSessionWithKey(0, 1, kKeyOfV);
   EXPECT_EQ(Write(0, 1), ErrorCode::kNone);
-  cluster_.database("db-a").slow = milliseconds(100);
+  cluster_.database("db-a").extra_latency = milliseconds(100);
   Send(0, 1, StatementKind::kWrite, "WRITE k v");
-  Run(10);
-  TellAll(Table(3, {kOtherKeyOfV}));
-  Run(500);
+  RunFor(10);
+  SetRoutesOnAll(MakeRoutes(3, {kOtherKeyOfV}));
+  RunFor(500);
   EXPECT_EQ(replies_.at(1).error, ErrorCode::kNone);
   EXPECT_EQ(closed_.at(1), ErrorCode::kUnknownKey);
 }
 
-// The same while a statement waits for a connection: it must not run later.
-TEST_F(WorkspacesTest, ADroppedKeyRefusesWhatIsQueued) {
-  MakeWithWorkspaces(1);
-  StartWith(0, 1, kKeyOfV);
+// A key is removed while a statement waits for a connection: the statement must
+// be refused instead of running later.
+TEST_F(WorkspacesTest, ARemovedKeyRefusesQueuedStatements) {
+  CreateInstancesWithWorkspaces(1);
+  StartSessionWithKey(0, 1, kKeyOfV);
   hosts_[0]->BreakConnections();
-  for (const char* id : {"db-a", "db-b", "db-c"}) hosts_[0]->CutFrom(id);
+  for (const char* id : {"db-a", "db-b", "db-c"}) hosts_[0]->PartitionFrom(id);
   Send(0, 1, StatementKind::kRead, "READ k");
-  Run(5);
-  TellAll(Table(3, {kOtherKeyOfV}));
+  RunFor(5);
+  SetRoutesOnAll(MakeRoutes(3, {kOtherKeyOfV}));
   EXPECT_EQ(replies_.at(1).error, ErrorCode::kUnknownKey);
 }
 
-// The caller's instance has not heard that the key was taken away, the keeper
-// has: the newer configuration decides.
-TEST_F(WorkspacesTest, AKeeperThatKnowsBetterRefuses) {
+// The keeper has the configuration that removes the key, the caller's instance
+// does not have it yet. The newer configuration must decide.
+TEST_F(WorkspacesTest, AKeeperWithNewerConfigurationRefuses) {
   fleet_.connection_limit = 5;
-  MakeWithWorkspaces(6);
-  StartWith(0, 1, kKeyOfV);
-  StartWith(1, 2, kKeyOfV);
+  CreateInstancesWithWorkspaces(6);
+  StartSessionWithKey(0, 1, kKeyOfV);
+  StartSessionWithKey(1, 2, kKeyOfV);
   EXPECT_EQ(Read(0, 1), ErrorCode::kNone);
-  const RouteTable newer = Table(3, {kOtherKeyOfV});
-  for (size_t i = 2; i < hosts_.size(); ++i) Tell(hosts_[i].get(), newer);
-  const uint64_t before = fleet_.forwarded;
+  const RouteTable newer = MakeRoutes(3, {kOtherKeyOfV});
+  for (size_t i = 2; i < hosts_.size(); ++i) SetRoutes(hosts_[i].get(), newer);
+  const uint64_t before = fleet_.forwarded_count;
   uint32_t refused = 0;
   for (int round = 0; round < 20; ++round) {
     refused += Read(0, 1) == ErrorCode::kUnknownKey ? 1 : 0;
   }
-  EXPECT_GT(fleet_.forwarded, before);
+  EXPECT_GT(fleet_.forwarded_count, before);
   EXPECT_GT(refused, 0U);
 }
 
-// A keeper has not heard of a workspace that the caller's instance knows: its
-// callers are served all the same.
-TEST_F(WorkspacesTest, AKeeperThatIsBehindServesANewWorkspace) {
+// The caller's instance has the configuration that adds a workspace, the keeper
+// does not have it yet. The workspace's callers must still be served.
+TEST_F(WorkspacesTest, AKeeperWithOlderConfigurationServesANewWorkspace) {
   fleet_.connection_limit = 5;
-  MakeWithWorkspaces(6);
-  RouteTable newer = Table(3, {kKeyOfV});
-  newer.workspaces.workspaces["n"] = {"n", 0, std::nullopt, {kNobodysKey}};
-  Tell(hosts_[0].get(), newer);
-  StartWith(0, 1, kNobodysKey);
-  const uint64_t before = fleet_.forwarded;
+  CreateInstancesWithWorkspaces(6);
+  RouteTable newer = MakeRoutes(3, {kKeyOfV});
+  newer.workspaces.workspaces["n"] = {"n", 0, std::nullopt, {kUnlistedKey}};
+  SetRoutes(hosts_[0].get(), newer);
+  StartSessionWithKey(0, 1, kUnlistedKey);
+  const uint64_t before = fleet_.forwarded_count;
   for (int round = 0; round < 5; ++round) {
     EXPECT_EQ(Read(0, 1), ErrorCode::kNone);
   }
-  EXPECT_GT(fleet_.forwarded, before);
+  EXPECT_GT(fleet_.forwarded_count, before);
 }
 
 }  // namespace
--- a/testsuite/soak/instance_process.h
+++ b/testsuite/soak/instance_process.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One ryefoldd as a process of its own.
+// One ryefoldd daemon as a child process.
 
 #include <sys/types.h>
 
@@ -9,8 +9,8 @@
 
 namespace ryefold::soak {
 
-/// Where an instance listens and whom it calls.
-struct InstancePlan {
+/// Program, addresses and folders of an instance.
+struct InstanceConfig {
   std::string program;
   std::string name;
   /// Folder for settings and logs.
@@ -23,26 +23,28 @@
   uint16_t promotion_port = 0;
 };
 
-/// Starts, signals and ends only the process that it started itself, by id.
+/// Starts, signals and kills one child process, always by its process id.
 class InstanceProcess {
  public:
-  explicit InstanceProcess(InstancePlan plan);
+  explicit InstanceProcess(InstanceConfig config);
   ~InstanceProcess();
   InstanceProcess(const InstanceProcess&) = delete;
   InstanceProcess& operator=(const InstanceProcess&) = delete;
 
   void Start();
-  void Signal(int signal) const;
-  /// SIGKILL, and waits for the end.
+  void SendSignal(int signal) const;
+  /// Sends SIGKILL and waits for the process to exit.
   void Kill();
-  /// Whether it runs; takes note when it has ended.
-  bool Running();
-  /// Ended by itself with a status that is no order's: a crash.
+  /// Returns whether the process is running; records its exit status if it has
+  /// ended.
+  bool IsRunning();
+  /// Returns whether the process ever ended by a signal other than that of
+  /// `Kill` or with a nonzero status.
   bool crashed() const { return crashed_; }
-  const InstancePlan& plan() const { return plan_; }
+  const InstanceConfig& config() const { return config_; }
 
  private:
-  const InstancePlan plan_;
+  const InstanceConfig config_;
   pid_t pid_ = 0;
   bool crashed_ = false;
 };
--- a/testsuite/soak/main.cc
+++ b/testsuite/soak/main.cc
@@ -1,9 +1,9 @@
-// soak_sessions: real daemons as processes of their own before stand-in
-// databases and a stand-in store, callers whose every answer is checked, and
-// faults from outside: links delayed, cut, silenced and reset by loopback
-// proxies, processes stopped, paused, killed and restarted by signals,
-// databases crashed, slowed and replaced, configuration changed. Several
-// faults overlap. Ends with 1 when a promise was broken.
+// soak_sessions: runs real daemons as separate processes against stand-in
+// databases and a stand-in store, and checks every reply that callers get.
+// Injects overlapping faults: loopback proxies delay, drop and reset
+// connections; signals stop, pause and kill processes, which are then
+// restarted; databases lag, slow down and are replaced; the configuration
+// changes. Exits with 1 if a check fails.
 
 #include <event2/event.h>
 #include <gtest/gtest.h>
@@ -43,22 +43,23 @@
 constexpr CallerId kCallers = 24;
 constexpr size_t kInstances = 4;
 constexpr uint16_t kFirstPort = 10000;
-constexpr uint16_t kPorts = 20000;
-/// A session that gets no answer for this long is given up by its caller.
-constexpr milliseconds kPatience{4000};
-/// Time for everything to come to rest after the last fault.
-constexpr milliseconds kRest{6000};
+constexpr uint16_t kPortCount = 20000;
+/// Time without a reply after which a caller abandons its session.
+constexpr milliseconds kReplyTimeout{4000};
+/// Time for recovery after the last fault.
+constexpr milliseconds kRecoveryTime{6000};
 
 struct Options {
   std::string program;
   std::string folder;
   uint64_t seed = 1;
-  milliseconds span{10000};
-  /// Replaced primaries go on, and databases are started anew.
+  milliseconds duration{10000};
+  /// Lets replaced primaries stay active, and restarts databases with empty
+  /// state.
   bool databases_go_on = false;
 };
 
-std::string Config(uint64_t version) {
+std::string MakeConfig(uint64_t version) {
   std::string routes;
   for (const char* type : {"primary", "bounded", "session"}) {
     routes += std::string(routes.empty() ? "" : ",") + "{\"name\":\"" + type +
@@ -71,7 +72,8 @@
          "\"limits\":{\"tx_idle_ms\":3000}}";
 }
 
-/// The whole: stand-ins, proxies, processes, callers, faults.
+/// Owns the stand-ins, proxies, processes and callers of a run, and injects
+/// faults.
 class Soak : public testsuite::CallerModel {
  public:
   explicit Soak(const Options& options)
@@ -83,44 +85,44 @@
         promotion_(base_, wire::HttpLimits(),
                    [this](const wire::HttpExchange& e) { OnPromote(e); }) {}
 
-  bool Prepare() {
-    if (options_.databases_go_on) databases_.cluster().LetReplacedGoOn();
+  bool StartAll() {
+    if (options_.databases_go_on) databases_.cluster().KeepReplacedActive();
     std::vector<std::string> errors = {store_.Listen("127.0.0.1:0"),
                                        promotion_.Listen("127.0.0.1:0"),
                                        databases_.Start()};
     for (const char* id : {"db-a", "db-b", "db-c"}) {
-      links_[id] = std::make_unique<TcpProxy>(base_);
-      errors.push_back(links_[id]->Listen(databases_.port(id)));
-      databases_.Advertise(id, links_[id]->port());
+      db_links_[id] = std::make_unique<TcpProxy>(base_);
+      errors.push_back(db_links_[id]->Listen(databases_.port(id)));
+      databases_.Advertise(id, db_links_[id]->port());
     }
     databases_.Register();
-    store_.Put("op/config", Config(version_));
+    store_.Put("op/config", MakeConfig(config_version_));
     for (size_t i = 0; i < kInstances; ++i) AddInstance(i, &errors);
     for (const std::string& error : errors) {
       if (error.empty()) continue;
-      std::cerr << "soak: " << error << "\n";
+      std::cerr << "soak_sessions: " << error << "\n";
       return false;
     }
     return true;
   }
 
-  void Play() {
-    Supervise();
-    Run(milliseconds(1200));
+  void RunFaults() {
+    RestartEnded();
+    RunFor(milliseconds(1200));
     for (CallerId id = 1; id <= kCallers; ++id) StartCaller(id);
     ScheduleFault();
-    Run(options_.span);
-    healing_ = true;
-    Heal();
-    Stop();
-    Run(kRest);
-    CheckAtEnd();
+    RunFor(options_.duration);
+    faults_ended_ = true;
+    ClearFaults();
+    StopNewWork();
+    RunFor(kRecoveryTime);
+    CheckFinalState();
     for (const testsuite::LogPosition& lost : LostCommits()) {
-      ADD_FAILURE() << "acknowledged and gone: " << lost.term << "."
+      ADD_FAILURE() << "lost acknowledged commit " << lost.term << "."
                     << lost.index;
     }
     for (const auto& instance : instances_) {
-      EXPECT_FALSE(instance->crashed()) << instance->plan().name;
+      EXPECT_FALSE(instance->crashed()) << instance->config().name;
     }
     EXPECT_GT(tally().acknowledged_writes, 20U);
   }
@@ -129,24 +131,25 @@
   void AddInstance(size_t index, std::vector<std::string>* errors) {
     store_links_.push_back(std::make_unique<TcpProxy>(base_));
     errors->push_back(store_links_.back()->Listen(store_.port()));
-    InstancePlan plan;
-    plan.program = options_.program;
-    plan.folder = options_.folder;
-    plan.name = "i" + std::to_string(index);
-    plan.failure_domain = std::string(1, static_cast<char>('a' + index % 3));
-    plan.session_port = FreePort();
-    plan.ready_port = FreePort();
-    plan.peer_port = FreePort();
-    plan.store_port = store_links_.back()->port();
-    plan.promotion_port = promotion_.port();
-    instances_.push_back(std::make_unique<InstanceProcess>(plan));
+    InstanceConfig config;
+    config.program = options_.program;
+    config.folder = options_.folder;
+    config.name = "i" + std::to_string(index);
+    config.failure_domain = std::string(1, static_cast<char>('a' + index % 3));
+    config.session_port = FreePort();
+    config.ready_port = FreePort();
+    config.peer_port = FreePort();
+    config.store_port = store_links_.back()->port();
+    config.promotion_port = promotion_.port();
+    instances_.push_back(std::make_unique<InstanceProcess>(config));
     instances_.back()->Start();
   }
-  /// A port that is free and that the kernel does not hand to outgoing
-  /// connections: one of those could sit on it while an instance restarts.
+  /// Returns a free port outside the kernel's ephemeral range, where an
+  /// outgoing connection could take the port while an instance restarts.
   uint16_t FreePort() {
     while (true) {
-      const auto port = static_cast<uint16_t>(kFirstPort + random()() % kPorts);
+      const auto port =
+          static_cast<uint16_t>(kFirstPort + random()() % kPortCount);
       wire::HttpServer probe(base_, wire::HttpLimits(),
                              [](const wire::HttpExchange&) {});
       const bool free =
@@ -154,10 +157,10 @@
       if (free && ports_.insert(port).second) return port;
     }
   }
-  void Run(milliseconds span) {
-    bool over = false;
-    After(base_, span, [&over] { over = true; });
-    while (!over) event_base_loop(base_, EVLOOP_ONCE);
+  void RunFor(milliseconds duration) {
+    bool elapsed = false;
+    After(base_, duration, [&elapsed] { elapsed = true; });
+    while (!elapsed) event_base_loop(base_, EVLOOP_ONCE);
   }
 
   void OnPromote(const wire::HttpExchange& exchange) {
@@ -166,164 +169,169 @@
     const size_t at = exchange.body().find("db-");
     wire::HttpReply reply;
     reply.status = databases_.Promote(exchange.body().substr(at, 4), token);
-    // One order in six is carried out without an answer.
+    // Drops the reply of one promotion in six.
     if (random()() % 6 != 0) exchange.Reply(reply);
   }
 
-  /// Restarts what has ended; an instance is never away for long.
-  void Supervise() {
+  /// Restarts ended instances every 300 ms.
+  void RestartEnded() {
     for (const auto& instance : instances_) {
-      if (!instance->Running()) instance->Start();
+      if (!instance->IsRunning()) instance->Start();
     }
-    After(base_, milliseconds(300), [this] { Supervise(); });
+    After(base_, milliseconds(300), [this] { RestartEnded(); });
   }
 
   void ScheduleFault() {
     After(base_, milliseconds(150 + random()() % 700), [this] {
-      if (healing_) return;
-      Fault();
+      if (faults_ended_) return;
+      InjectFault();
       ScheduleFault();
     });
   }
 
-  void HarmFor(TcpProxy* link, LinkHarm harm, milliseconds span) {
-    link->SetHarm(harm, milliseconds(50 + random()() % 250));
-    After(base_, span, [link] { link->SetHarm(LinkHarm::kNone, {}); });
+  void InjectLinkFault(TcpProxy* link, LinkFault fault, milliseconds duration) {
+    link->SetFault(fault, milliseconds(50 + random()() % 250));
+    After(base_, duration, [link] { link->SetFault(LinkFault::kNone, {}); });
   }
 
-  void Fault() {
+  void InjectFault() {
     const char* ids[] = {"db-a", "db-b", "db-c"};
     const std::string database = ids[random()() % 3];
     const size_t instance = random()() % kInstances;
-    const milliseconds span(300 + random()() % 2500);
-    const auto harm = static_cast<LinkHarm>(1 + random()() % 4);
+    const milliseconds duration(300 + random()() % 2500);
+    const auto fault = static_cast<LinkFault>(1 + random()() % 4);
     if (options_.databases_go_on && random()() % 3 == 0) {
-      HarmGroup(database, span);
+      InjectGroupFault(database, duration);
       return;
     }
     switch (random()() % 11) {
       case 0:
       case 1:
-        HarmFor(links_[database].get(), harm, span);
+        InjectLinkFault(db_links_[database].get(), fault, duration);
         break;
       case 2:
-        links_[database]->ResetAll();
+        db_links_[database]->ResetAll();
         break;
       case 3:
-        HarmFor(store_links_[instance].get(), harm, span);
+        InjectLinkFault(store_links_[instance].get(), fault, duration);
         break;
       case 4:
         instances_[instance]->Kill();
         break;
       case 5:
-        instances_[instance]->Signal(SIGTERM);
+        instances_[instance]->SendSignal(SIGTERM);
         break;
       case 6:
-        instances_[instance]->Signal(SIGSTOP);
-        After(base_, span,
-              [this, instance] { instances_[instance]->Signal(SIGCONT); });
+        instances_[instance]->SendSignal(SIGSTOP);
+        After(base_, duration,
+              [this, instance] { instances_[instance]->SendSignal(SIGCONT); });
         break;
       case 7:
-        // Every other time it receives nothing at all.
-        databases_.cluster().database(database).lag = span;
-        databases_.cluster().database(database).deaf = span.count() % 2 == 0;
+        // For half of the durations replication stops altogether.
+        databases_.cluster().database(database).lag = duration;
+        databases_.cluster().database(database).detached =
+            duration.count() % 2 == 0;
         break;
       case 8:
-        databases_.cluster().database(database).slow = milliseconds(80);
+        databases_.cluster().database(database).extra_latency =
+            milliseconds(80);
         databases_.cluster().database(database).lose_one_in = 30;
         break;
       case 9:
         store_.faults().down = true;
         if (random()() % 2 == 0) store_.RevokeLeases();
-        After(base_, span, [this] { store_.faults().down = false; });
+        After(base_, duration, [this] { store_.faults().down = false; });
         break;
       default:
-        instances_[instance]->Signal(SIGHUP);
-        store_.Put("op/config", Config(++version_));
-        HealDatabases();
+        instances_[instance]->SendSignal(SIGHUP);
+        store_.Put("op/config", MakeConfig(++config_version_));
+        ClearDatabaseFaults();
         break;
     }
   }
-  /// Partitions the primary from the others, which may be promoted and leave it
-  /// to go on, or starts a replica anew while the other one receives.
-  void HarmGroup(const std::string& database, milliseconds span) {
+  /// Partitions the primary from the other databases, one of which may then be
+  /// promoted while the primary stays active; or restarts a replica with empty
+  /// state while the other one receives.
+  void InjectGroupFault(const std::string& database, milliseconds duration) {
     testsuite::FakeCluster& cluster = databases_.cluster();
     const std::string primary = cluster.primary();
     if (database == primary) {
       for (const char* id : {"db-a", "db-b", "db-c"}) {
-        if (id != primary) cluster.Cut(primary, id);
+        if (id != primary) cluster.Partition(primary, id);
       }
-      After(base_, span * 2, [this] { databases_.cluster().HealCuts(); });
+      After(base_, duration * 2,
+            [this] { databases_.cluster().HealPartitions(); });
       return;
     }
     for (const char* id : {"db-a", "db-b", "db-c"}) {
       const testsuite::FakeDatabase& other = cluster.database(id);
-      if (other.deaf || !other.cut_from.empty()) return;
+      if (other.detached || !other.partitioned_from.empty()) return;
       if (other.primary && id != primary) return;
     }
     databases_.StartAnew(database);
   }
 
-  void HealDatabases() {
+  void ClearDatabaseFaults() {
     for (const char* id : {"db-a", "db-b", "db-c"}) {
       testsuite::FakeDatabase& database = databases_.cluster().database(id);
       database.lag = milliseconds(20);
-      database.deaf = false;
-      database.slow = milliseconds(0);
+      database.detached = false;
+      database.extra_latency = milliseconds(0);
       database.lose_one_in = 0;
     }
   }
-  void Heal() {
-    HealDatabases();
-    databases_.cluster().HealCuts();
+  void ClearFaults() {
+    ClearDatabaseFaults();
+    databases_.cluster().HealPartitions();
     store_.faults() = standins::KeyValueFaults();
-    for (auto& [id, link] : links_) link->SetHarm(LinkHarm::kNone, {});
-    for (auto& link : store_links_) link->SetHarm(LinkHarm::kNone, {});
-    for (auto& instance : instances_) instance->Signal(SIGCONT);
+    for (auto& [id, link] : db_links_) link->SetFault(LinkFault::kNone, {});
+    for (auto& link : store_links_) link->SetFault(LinkFault::kNone, {});
+    for (auto& instance : instances_) instance->SendSignal(SIGCONT);
   }
 
   // CallerModel
   TimePoint Now() const override { return steady_clock::now(); }
   testsuite::FakeCluster& cluster() override { return databases_.cluster(); }
-  void AskAfter(CallerId id, milliseconds pause) override {
-    After(base_, pause, [this, id, since = life(id)] {
-      if (since == life(id) && sessions_.count(id) > 0) Ask(id);
+  void SendNextAfter(CallerId id, milliseconds pause) override {
+    After(base_, pause, [this, id, number = session_number(id)] {
+      if (number == session_number(id) && sessions_.count(id) > 0) SendNext(id);
     });
   }
   void OpenSession(CallerId id, const std::string& route) override {
-    const uint64_t since = life(id);
-    const size_t instance = (id + attempts_++) % kInstances;
+    const uint64_t number = session_number(id);
+    const size_t instance = (id + session_attempts_++) % kInstances;
     sessions_[id] = std::make_shared<SessionLink>(
         base_,
         "127.0.0.1:" +
-            std::to_string(instances_[instance]->plan().session_port),
+            std::to_string(instances_[instance]->config().session_port),
         route,
-        [this, id, since](const Reply& reply) {
-          if (since != life(id)) return;
-          ++answers_[id];
-          Replied(id, reply);
+        [this, id, number](const Reply& reply) {
+          if (number != session_number(id)) return;
+          ++activity_[id];
+          OnStatementReply(id, reply);
         },
-        [this, id, since] {
-          // Not from within the link's own call.
+        [this, id, number] {
+          // Deferred because the callback runs inside the link.
           After(base_, milliseconds(50 + random()() % 200),
-                [this, id, since] { Reopen(id, since); });
+                [this, id, number] { Reopen(id, number); });
         });
   }
   void SendStatement(CallerId caller, const std::string& id,
                      const Statement& statement) override {
     sessions_.at(caller)->Send(id, statement.text);
-    const uint64_t asked = ++answers_[caller];
-    After(base_, kPatience, [this, caller, asked, since = life(caller)] {
-      if (answers_[caller] == asked) Reopen(caller, since);
-    });
+    const uint64_t activity = ++activity_[caller];
+    After(base_, kReplyTimeout,
+          [this, caller, activity, number = session_number(caller)] {
+            if (activity_[caller] == activity) Reopen(caller, number);
+          });
   }
-  void Reopen(CallerId id, uint64_t since) {
-    if (since != life(id)) return;
+  void Reopen(CallerId id, uint64_t number) {
+    if (number != session_number(id)) return;
     sessions_.at(id)->Close();
-    closed_.push_back(std::move(sessions_.at(id)));
+    closed_sessions_.push_back(std::move(sessions_.at(id)));
     sessions_.erase(id);
-    SessionLost(id);
-    if (!healing_) StartCaller(id);
+    OnSessionLost(id);
+    if (!faults_ended_) StartCaller(id);
   }
 
   const Options options_;
@@ -331,25 +339,25 @@
   standins::KeyValueStandin store_;
   standins::LineDatabases databases_;
   wire::HttpServer promotion_;
-  std::map<std::string, std::unique_ptr<TcpProxy>> links_;
+  std::map<std::string, std::unique_ptr<TcpProxy>> db_links_;
   std::vector<std::unique_ptr<TcpProxy>> store_links_;
   std::vector<std::unique_ptr<InstanceProcess>> instances_;
   std::map<CallerId, std::shared_ptr<SessionLink>> sessions_;
-  std::vector<std::shared_ptr<SessionLink>> closed_;
-  std::map<CallerId, uint64_t> answers_;
-  uint64_t attempts_ = 0;
+  std::vector<std::shared_ptr<SessionLink>> closed_sessions_;
+  std::map<CallerId, uint64_t> activity_;
+  uint64_t session_attempts_ = 0;
   std::set<uint16_t> ports_;
-  uint64_t version_ = 1;
-  bool healing_ = false;
+  uint64_t config_version_ = 1;
+  bool faults_ended_ = false;
 };
 
-int Play(const Options& options) {
+int RunSoak(const Options& options) {
   Soak soak(options);
-  if (!soak.Prepare()) return 2;
-  soak.Play();
+  if (!soak.StartAll()) return 2;
+  soak.RunFaults();
   const auto& tally = soak.tally();
   std::cout << "seed=" << options.seed << " done=" << tally.done
-            << " refused=" << tally.refused << " doubtful=" << tally.doubtful
+            << " refused=" << tally.refused << " in_doubt=" << tally.in_doubt
             << " writes=" << tally.acknowledged_writes
             << " broken=" << (testing::Test::HasFailure() ? "yes" : "no")
             << std::endl;
@@ -360,18 +368,21 @@
 }  // namespace ryefold::soak
 
 int main(int argc, char** argv) {
-  cxxopts::Options flags("soak_sessions",
-                         "Random faults against real daemons.");
+  cxxopts::Options flags(
+      "soak_sessions",
+      "Injects random faults into real daemons and checks every reply.");
   flags.add_options()(
       "program", "path of ryefoldd",
       cxxopts::value<std::string>()->default_value("build/ryefoldd"))(
       "folder", "folder for settings and logs",
       cxxopts::value<std::string>()->default_value("/tmp"))(
-      "seed", "seed", cxxopts::value<uint64_t>()->default_value("1"))(
+      "seed", "seed of the random operations and faults",
+      cxxopts::value<uint64_t>()->default_value("1"))(
       "databases-go-on",
-      "replaced primaries go on for a while, databases are started anew",
+      "replaced primaries stay active for a while, databases restart with "
+      "empty state",
       cxxopts::value<bool>()->default_value("false"))(
-      "seconds", "time with faults",
+      "seconds", "duration of the fault phase, s",
       cxxopts::value<uint64_t>()->default_value("10"));
   const auto parsed = flags.parse(argc, argv);
   testing::InitGoogleTest(&argc, argv);
@@ -380,8 +391,8 @@
   options.program = parsed["program"].as<std::string>();
   options.folder = parsed["folder"].as<std::string>();
   options.seed = parsed["seed"].as<uint64_t>();
-  options.span = std::chrono::seconds(
+  options.duration = std::chrono::seconds(
       static_cast<int64_t>(parsed["seconds"].as<uint64_t>()));
   options.databases_go_on = parsed["databases-go-on"].as<bool>();
-  return ryefold::soak::Play(options);
+  return ryefold::soak::RunSoak(options);
 }
--- a/testsuite/soak/tcp_proxy.cc
+++ b/testsuite/soak/tcp_proxy.cc
@@ -17,105 +17,108 @@
 
 using std::chrono::milliseconds;
 
-/// One connection on either side, and what is on its way between them.
-class TcpProxy::Pair {
+/// A client connection, its target connection, and the delayed data between
+/// them.
+class TcpProxy::Connection {
  public:
-  Pair(TcpProxy* owner, int fd) : owner_(owner) {
-    near_ = bufferevent_socket_new(owner->base_, fd, BEV_OPT_CLOSE_ON_FREE);
-    far_ = bufferevent_socket_new(owner->base_, -1, BEV_OPT_CLOSE_ON_FREE);
-    bufferevent_setcb(near_, OnNear, nullptr, OnEvent, this);
-    bufferevent_setcb(far_, OnFar, nullptr, OnEvent, this);
+  Connection(TcpProxy* owner, int fd) : owner_(owner) {
+    client_ = bufferevent_socket_new(owner->base_, fd, BEV_OPT_CLOSE_ON_FREE);
+    server_ = bufferevent_socket_new(owner->base_, -1, BEV_OPT_CLOSE_ON_FREE);
+    bufferevent_setcb(client_, OnClientData, nullptr, OnEvent, this);
+    bufferevent_setcb(server_, OnTargetData, nullptr, OnEvent, this);
     wire::SocketAddress target =
         wire::ToSocketAddress("127.0.0.1", owner->target_);
-    bufferevent_socket_connect(far_, target.any(),
+    bufferevent_socket_connect(server_, target.any(),
                                static_cast<int>(target.size));
-    bufferevent_enable(near_, EV_READ | EV_WRITE);
-    bufferevent_enable(far_, EV_READ | EV_WRITE);
+    bufferevent_enable(client_, EV_READ | EV_WRITE);
+    bufferevent_enable(server_, EV_READ | EV_WRITE);
   }
-  ~Pair() { Close(); }
+  ~Connection() { Close(); }
 
   void Close() {
-    if (near_ == nullptr) return;
-    // Unread bytes make the kernel send a reset.
-    bufferevent_free(std::exchange(near_, nullptr));
-    bufferevent_free(std::exchange(far_, nullptr));
+    if (client_ == nullptr) return;
+    // The kernel sends a reset if bytes are unread.
+    bufferevent_free(std::exchange(client_, nullptr));
+    bufferevent_free(std::exchange(server_, nullptr));
   }
-  bool closed() const { return near_ == nullptr; }
-  /// Held bytes are lost: the connection carries nothing any more.
-  void Mute() { muted_ = true; }
+  bool closed() const { return client_ == nullptr; }
+  /// Drops replies from now on, also after the fault ends, because earlier
+  /// bytes of the stream are lost.
+  void DropReplies() { drops_replies_ = true; }
 
  private:
-  static void OnNear(bufferevent* from, void* self) {
-    auto* pair = static_cast<Pair*>(self);
-    pair->Pass(from, pair->far_, /*answers=*/false);
+  static void OnClientData(bufferevent* from, void* self) {
+    auto* connection = static_cast<Connection*>(self);
+    connection->Forward(from, connection->server_, /*replies=*/false);
   }
-  static void OnFar(bufferevent* from, void* self) {
-    auto* pair = static_cast<Pair*>(self);
-    pair->Pass(from, pair->near_, /*answers=*/true);
+  static void OnTargetData(bufferevent* from, void* self) {
+    auto* connection = static_cast<Connection*>(self);
+    connection->Forward(from, connection->client_, /*replies=*/true);
   }
-  static void OnEvent(bufferevent*, int16_t what, void* self) {
-    constexpr int kEnds = BEV_EVENT_EOF | BEV_EVENT_ERROR;
-    if ((what & kEnds) != 0) static_cast<Pair*>(self)->Close();
+  static void OnEvent(bufferevent*, int16_t events, void* self) {
+    constexpr int kClosedEvents = BEV_EVENT_EOF | BEV_EVENT_ERROR;
+    if ((events & kClosedEvents) != 0) static_cast<Connection*>(self)->Close();
   }
 
-  void Pass(bufferevent* from, bufferevent* to, bool answers) {
-    const LinkHarm harm = owner_->harm_;
-    const bool held =
-        harm == LinkHarm::kSilent || (harm == LinkHarm::kOneWay && answers);
-    if (held) Mute();
+  void Forward(bufferevent* from, bufferevent* to, bool replies) {
+    const LinkFault fault = owner_->fault_;
+    const bool dropped = fault == LinkFault::kDropAll ||
+                         (fault == LinkFault::kDropReplies && replies);
+    if (dropped) DropReplies();
     evbuffer* input = bufferevent_get_input(from);
-    if (muted_ && (held || answers)) {
+    if (drops_replies_ && (dropped || replies)) {
       evbuffer_drain(input, evbuffer_get_length(input));
-    } else if (harm == LinkHarm::kDelay || !late_[answers].empty()) {
-      // What comes behind delayed bytes must not overtake them.
-      Delay(input, answers);
+    } else if (fault == LinkFault::kDelay || !delayed_[replies].empty()) {
+      // Later bytes must not overtake delayed ones.
+      Delay(input, replies);
     } else {
       bufferevent_write_buffer(to, input);
     }
   }
 
-  void Delay(evbuffer* input, bool answers) {
+  void Delay(evbuffer* input, bool replies) {
     std::string bytes(evbuffer_get_length(input), '\0');
     evbuffer_remove(input, bytes.data(), bytes.size());
-    late_[answers].push_back(std::move(bytes));
+    delayed_[replies].push_back(std::move(bytes));
     const timeval wait = wire::ToTimeval(owner_->delay_);
-    event_base_once(owner_->base_, -1, EV_TIMEOUT, OnLate,
-                    new Late{owner_, this, answers}, &wait);
+    event_base_once(owner_->base_, -1, EV_TIMEOUT, OnDelayElapsed,
+                    new DelayedDelivery{owner_, this, replies}, &wait);
   }
 
-  struct Late {
+  struct DelayedDelivery {
     TcpProxy* owner;
-    Pair* pair;
-    bool answers;
+    Connection* connection;
+    bool replies;
   };
-  static void OnLate(evutil_socket_t, int16_t, void* argument) {
-    const std::unique_ptr<Late> late(static_cast<Late*>(argument));
-    for (const auto& pair : late->owner->pairs_) {
-      if (pair.get() == late->pair) {
-        late->pair->DeliverLate(late->answers);
+  static void OnDelayElapsed(evutil_socket_t, int16_t, void* argument) {
+    const std::unique_ptr<DelayedDelivery> delayed(
+        static_cast<DelayedDelivery*>(argument));
+    for (const auto& connection : delayed->owner->connections_) {
+      if (connection.get() == delayed->connection) {
+        delayed->connection->DeliverDelayed(delayed->replies);
       }
     }
   }
-  void DeliverLate(bool answers) {
-    std::deque<std::string>& late = late_[answers];
-    if (closed() || late.empty()) return;
-    const std::string bytes = std::move(late.front());
-    late.pop_front();
-    bufferevent_write(answers ? near_ : far_, bytes.data(), bytes.size());
+  void DeliverDelayed(bool replies) {
+    std::deque<std::string>& delayed = delayed_[replies];
+    if (closed() || delayed.empty()) return;
+    const std::string bytes = std::move(delayed.front());
+    delayed.pop_front();
+    bufferevent_write(replies ? client_ : server_, bytes.data(), bytes.size());
   }
 
   TcpProxy* owner_;
-  bufferevent* near_;
-  bufferevent* far_;
-  bool muted_ = false;
-  /// Delayed bytes: requests, answers.
-  std::array<std::deque<std::string>, 2> late_;
+  bufferevent* client_;
+  bufferevent* server_;
+  bool drops_replies_ = false;
+  /// Delayed bytes: requests at index 0, replies at index 1.
+  std::array<std::deque<std::string>, 2> delayed_;
 };
 
 TcpProxy::TcpProxy(event_base* base) : base_(base) {}
 
 TcpProxy::~TcpProxy() {
-  pairs_.clear();
+  connections_.clear();
   if (listener_ != nullptr) evconnlistener_free(listener_);
 }
 
@@ -138,26 +141,28 @@
 }
 
 void TcpProxy::Accept(int fd) {
-  Reap();
-  if (harm_ == LinkHarm::kRefuse) {
+  RemoveClosed();
+  if (fault_ == LinkFault::kRefuse) {
     evutil_closesocket(fd);
     return;
   }
-  pairs_.push_back(std::make_unique<Pair>(this, fd));
+  connections_.push_back(std::make_unique<Connection>(this, fd));
 }
 
-void TcpProxy::Reap() {
-  std::erase_if(
-      pairs_, [](const std::unique_ptr<Pair>& pair) { return pair->closed(); });
+void TcpProxy::RemoveClosed() {
+  std::erase_if(connections_,
+                [](const std::unique_ptr<Connection>& connection) {
+                  return connection->closed();
+                });
 }
 
-void TcpProxy::SetHarm(LinkHarm harm, milliseconds delay) {
-  harm_ = harm;
+void TcpProxy::SetFault(LinkFault fault, milliseconds delay) {
+  fault_ = fault;
   delay_ = delay;
 }
 
 void TcpProxy::ResetAll() {
-  for (const auto& pair : pairs_) pair->Close();
+  for (const auto& connection : connections_) connection->Close();
 }
 
 }  // namespace ryefold::soak
--- a/testsuite/soak/tcp_proxy.h
+++ b/testsuite/soak/tcp_proxy.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A loopback proxy that harms what passes: delay, silence, one direction cut,
-// reset.
+// A loopback TCP proxy that injects faults: delayed data, dropped data, refused
+// and reset connections.
 
 #include <chrono>
 #include <cstdint>
@@ -14,12 +14,12 @@
 
 namespace ryefold::soak {
 
-enum class LinkHarm : uint8_t {
+enum class LinkFault : uint8_t {
   kNone,
-  kDelay,   ///< What arrives waits for a while.
-  kSilent,  ///< Nothing passes, in either direction; connections stay open.
-  kOneWay,  ///< Requests pass, answers do not.
-  kRefuse,  ///< New connections are closed at once.
+  kDelay,        ///< Delays all data.
+  kDropAll,      ///< Drops data in both directions; connections stay open.
+  kDropReplies,  ///< Forwards requests, drops replies.
+  kRefuse,       ///< Closes new connections at once.
 };
 
 class TcpProxy {
@@ -29,29 +29,30 @@
   TcpProxy(const TcpProxy&) = delete;
   TcpProxy& operator=(const TcpProxy&) = delete;
 
-  /// Listens on a free loopback port for what is to go to `target`. An error
-  /// text, empty on success.
+  /// Listens on a free loopback port and forwards to loopback port `target`.
+  /// Returns an error text, empty on success.
   std::string Listen(uint16_t target);
   uint16_t port() const;
   void SetTarget(uint16_t target) { target_ = target; }
 
-  /// What befalls all connections from now on. Bytes held back by kSilent and
-  /// kOneWay are lost when the harm ends: those connections stay useless.
-  void SetHarm(LinkHarm harm, std::chrono::milliseconds delay);
-  /// Breaks every open connection.
+  /// Applies the fault to all connections from now on. Connections on which
+  /// kDropAll or kDropReplies has dropped data stay unusable after the fault
+  /// ends.
+  void SetFault(LinkFault fault, std::chrono::milliseconds delay);
+  /// Closes every open connection.
   void ResetAll();
 
  private:
-  class Pair;
+  class Connection;
   void Accept(int fd);
-  void Reap();
+  void RemoveClosed();
 
   event_base* base_;
   evconnlistener* listener_ = nullptr;
   uint16_t target_ = 0;
-  LinkHarm harm_ = LinkHarm::kNone;
+  LinkFault fault_ = LinkFault::kNone;
   std::chrono::milliseconds delay_{0};
-  std::vector<std::unique_ptr<Pair>> pairs_;
+  std::vector<std::unique_ptr<Connection>> connections_;
 };
 
 }  // namespace ryefold::soak
--- a/testsuite/support/session/checked_callers.h
+++ b/testsuite/support/session/checked_callers.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Callers that play random operations through several instances and check
-// every promise against what the databases ran.
+// Callers that send random operations through several instances and check every
+// reply against what the databases executed.
 
 #include <gtest/gtest.h>
 
@@ -17,23 +17,23 @@
 
 namespace ryefold::testsuite {
 
-/// A promise that nothing of what was asked is kept.
-inline bool PromisesNothingKept(ErrorCode code) {
+/// Returns whether the error guarantees that the operation had no effect.
+inline bool GuaranteesNoEffect(ErrorCode code) {
   return code == ErrorCode::kBusy || code == ErrorCode::kAborted ||
          code == ErrorCode::kLagging || code == ErrorCode::kReadOnly ||
          code == ErrorCode::kWrongDatabase ||
          code == ErrorCode::kTooManyConnections;
 }
 
-/// Callers that each keep one session and, one after the other, read, write,
-/// set variables, prepare, and run transactions. Every answer is checked
-/// against what the databases ran. How statements travel is left open.
+/// Models callers with one session each that send reads, writes, SET, PARSE and
+/// transactions, one statement at a time, and checks every reply against what
+/// the databases executed. Subclasses implement the transport.
 class CallerModel {
  public:
   struct Tally {
     uint32_t done = 0;
     uint32_t refused = 0;
-    uint32_t doubtful = 0;
+    uint32_t in_doubt = 0;
     uint32_t acknowledged_writes = 0;
   };
 
@@ -42,25 +42,27 @@
 
   std::mt19937_64& random() { return random_; }
   const Tally& tally() const { return tally_; }
-  /// Callers ask nothing new.
-  void Stop() { stopped_ = true; }
-
-  /// Checks that only the whole of the run can tell.
-  void CheckAtEnd() {
-    for (const auto& [id, statement] : asked_) {
-      EXPECT_LE(cluster().TimesCommitted(id), 1U) << "written twice: " << id;
+  /// Lets open transactions finish and sends nothing else.
+  void StopNewWork() { stopped_ = true; }
+
+  /// Checks conditions that hold only at the end of the run: no statement is
+  /// committed twice, and none after a reply that guaranteed no effect.
+  void CheckFinalState() {
+    for (const auto& [id, statement] : sent_) {
+      EXPECT_LE(cluster().TimesCommitted(id), 1U)
+          << "committed more than once: " << id;
     }
-    for (const std::string& id : promised_not_kept_) {
+    for (const std::string& id : must_not_commit_) {
       EXPECT_EQ(cluster().TimesCommitted(id), 0U)
-          << "kept although promised not to be: " << id;
+          << "committed although its reply guaranteed no effect: " << id;
     }
   }
 
-  /// Where commits that callers were told of are missing now.
+  /// Returns the positions of acknowledged commits that did not survive.
   std::vector<LogPosition> LostCommits() {
-    const std::set<LogPosition> surviving = cluster().Surviving();
+    const std::set<LogPosition> surviving = cluster().SurvivingPositions();
     std::vector<LogPosition> lost;
-    for (const Acknowledged& commit : acknowledged_) {
+    for (const AcknowledgedCommit& commit : acknowledged_) {
       if (surviving.count(commit.position) == 0) {
         lost.push_back(commit.position);
       }
@@ -71,136 +73,144 @@
  protected:
   virtual TimePoint Now() const = 0;
   virtual FakeCluster& cluster() = 0;
-  /// Calls `Ask` for the caller after the pause, unless its session ends.
-  virtual void AskAfter(CallerId caller, milliseconds pause) = 0;
-  /// Opens a session, at the instance that the caller's number stands for.
+  /// Calls `SendNext` for the caller after the pause, unless its session ends
+  /// first.
+  virtual void SendNextAfter(CallerId caller, milliseconds pause) = 0;
+  /// Opens a session at an instance that the implementation selects.
   virtual void OpenSession(CallerId caller, const std::string& route) = 0;
   virtual void SendStatement(CallerId caller, const std::string& id,
                              const Statement& statement) = 0;
 
   void StartCaller(CallerId id) {
-    State& state = callers_[id];
+    CallerState& state = callers_[id];
     state.id = id;
     const char* routes[] = {"primary", "bounded", "session"};
     state.route = routes[id % 3];
     OpenSession(id, state.route);
-    AskSoon(id);
+    ScheduleNext(id);
   }
 
-  /// The session is gone. What the caller was waiting for stays unknown; it
-  /// comes back with a new session.
-  void SessionLost(CallerId id) {
-    State& state = callers_.at(id);
-    if (!state.waiting_for.empty()) ++tally_.doubtful;
-    state = State();
+  /// Resets the caller after the loss of its session. The outcome of a pending
+  /// statement stays unknown.
+  void OnSessionLost(CallerId id) {
+    CallerState& state = callers_.at(id);
+    if (!state.pending_statement.empty()) ++tally_.in_doubt;
+    state = CallerState();
     pending_variable_.erase(id);
     pending_prepared_.erase(id);
-    ++lives_[id];
+    ++session_numbers_[id];
   }
-  uint64_t life(CallerId id) { return lives_[id]; }
+  uint64_t session_number(CallerId id) { return session_numbers_[id]; }
 
-  void Ask(CallerId id) {
-    State& state = callers_.at(id);
+  void SendNext(CallerId id) {
+    CallerState& state = callers_.at(id);
     if (state.transaction != 0) {
-      Step(&state);
+      AdvanceTransaction(&state);
       return;
     }
     if (stopped_) return;
-    const uint64_t choice = Draw(100);
-    if (choice < 8) {
-      const std::string name = "v" + std::to_string(Draw(3));
-      const std::string value = std::to_string(Draw(4));
+    const uint64_t roll = RandomBelow(100);
+    if (roll < 8) {
+      const std::string name = "v" + std::to_string(RandomBelow(3));
+      const std::string value = std::to_string(RandomBelow(4));
       pending_variable_[id] = {name, value};
       Send(&state, StatementKind::kSet, "SET " + name + " " + value, {}, name,
            value);
-    } else if (choice < 14) {
-      const std::string name = "p" + std::to_string(Draw(2));
-      const std::string shape =
-          (Draw(2) == 0 ? "w" : "r") + std::to_string(Draw(3));
-      pending_prepared_[id] = {name, shape};
+    } else if (roll < 14) {
+      const std::string name = "p" + std::to_string(RandomBelow(2));
+      const std::string statement_template =
+          (RandomBelow(2) == 0 ? "w" : "r") + std::to_string(RandomBelow(3));
+      pending_prepared_[id] = {name, statement_template};
       Send(&state, StatementKind::kPrepare,
-           "PARSE " + name + (shape[0] == 'w' ? " WRITE " : " READ ") + shape,
-           {}, name, shape);
-    } else if (choice < 30) {
+           "PARSE " + name +
+               (statement_template[0] == 'w' ? " WRITE " : " READ ") +
+               statement_template,
+           {}, name, statement_template);
+    } else if (roll < 30) {
       state.transaction = ++last_transaction_;
-      state.transaction_at = Now();
-      state.steps_left = 1 + static_cast<uint32_t>(Draw(4));
+      state.transaction_started_at = Now();
+      state.steps_left = 1 + static_cast<uint32_t>(RandomBelow(4));
       state.writes.clear();
       state.database_transaction = 0;
       Send(&state, StatementKind::kBegin, "BEGIN", {});
     } else {
-      SendWork(&state);
+      SendReadOrWrite(&state);
     }
   }
 
-  void Replied(CallerId id, const Reply& reply) {
-    State& state = callers_.at(id);
-    ASSERT_FALSE(state.waiting_for.empty()) << "an answer to nothing";
-    const std::string statement = state.waiting_for;
-    state.waiting_for.clear();
-    const Asked& asked = asked_.at(statement);
+  void OnStatementReply(CallerId id, const Reply& reply) {
+    CallerState& state = callers_.at(id);
+    ASSERT_FALSE(state.pending_statement.empty())
+        << "reply without a pending statement";
+    const std::string statement = state.pending_statement;
+    state.pending_statement.clear();
+    const SentStatement& sent = sent_.at(statement);
     if (reply.ok()) {
       ++tally_.done;
-      Succeeded(&state, statement, asked, reply);
+      HandleSuccess(&state, statement, sent, reply);
     } else {
-      Failed(&state, statement, asked, reply);
+      HandleFailure(&state, statement, sent, reply);
     }
-    AskSoon(id);
+    ScheduleNext(id);
   }
 
  private:
-  struct Asked {
+  struct SentStatement {
     CallerId caller = 0;
     std::string text;
-    /// What the databases have to run; a prepared one by its shape.
-    std::string runs_as;
-    TimePoint at;
-    TimePoint transaction_at;
+    /// Text that the database has to execute; for a prepared statement, its
+    /// template and arguments.
+    std::string expected_text;
+    TimePoint sent_at;
+    TimePoint transaction_started_at;
     bool read = false;
     bool write = false;
     bool commit = false;
     uint64_t transaction = 0;
   };
-  struct State {
+  struct CallerState {
     CallerId id = 0;
     std::string route;
     std::map<std::string, std::string> variables;
     std::map<std::string, std::string> prepared;
     std::vector<LogPosition> own_commits;
-    std::string waiting_for;
+    std::string pending_statement;
     uint64_t transaction = 0;
-    TimePoint transaction_at;
+    TimePoint transaction_started_at;
     uint32_t steps_left = 0;
     bool must_roll_back = false;
     std::vector<std::string> writes;
-    /// Number that the database gave the transaction; 0 before the first run.
+    /// Transaction number assigned by the database; 0 before the first
+    /// statement.
     uint64_t database_transaction = 0;
   };
-  struct Acknowledged {
-    TimePoint at;
+  struct AcknowledgedCommit {
+    TimePoint acknowledged_at;
     LogPosition position;
     CallerId caller = 0;
-    /// Which of the caller's sessions.
-    uint64_t life = 0;
+    /// Ordinal of the session among the caller's sessions.
+    uint64_t session_number = 0;
   };
 
-  uint64_t Draw(uint64_t below) { return random_() % below; }
+  uint64_t RandomBelow(uint64_t limit) { return random_() % limit; }
 
-  void AskSoon(CallerId id) { AskAfter(id, milliseconds(1 + Draw(60))); }
+  void ScheduleNext(CallerId id) {
+    SendNextAfter(id, milliseconds(1 + RandomBelow(60)));
+  }
 
-  void Send(State* state, StatementKind kind, const std::string& text,
-            Asked asked, const std::string& name = "",
+  void Send(CallerState* state, StatementKind kind, const std::string& text,
+            SentStatement sent, const std::string& name = "",
             const std::string& argument = "") {
     const std::string id = "s" + std::to_string(++last_statement_);
-    asked.caller = state->id;
-    asked.text = text;
-    if (asked.runs_as.empty()) asked.runs_as = text;
-    asked.at = Now();
-    asked.transaction = state->transaction;
-    asked.transaction_at =
-        state->transaction != 0 ? state->transaction_at : Now();
-    asked_[id] = asked;
-    state->waiting_for = id;
+    sent.caller = state->id;
+    sent.text = text;
+    if (sent.expected_text.empty()) sent.expected_text = text;
+    sent.sent_at = Now();
+    sent.transaction = state->transaction;
+    sent.transaction_started_at =
+        state->transaction != 0 ? state->transaction_started_at : Now();
+    sent_[id] = sent;
+    state->pending_statement = id;
     Statement statement = MakeStatement(kind, text);
     statement.name = name;
     statement.argument = argument;
@@ -208,99 +218,99 @@
     SendStatement(state->id, id, statement);
   }
 
-  /// A read, a write, or a prepared one of either.
-  void SendWork(State* state) {
-    Asked asked;
+  /// Sends a read or a write, directly or as a prepared statement.
+  void SendReadOrWrite(CallerState* state) {
+    SentStatement sent;
     const bool bounded = state->route == "bounded";
-    if (!state->prepared.empty() && Draw(3) == 0) {
-      const auto& [name, shape] = *state->prepared.begin();
-      asked.write = shape[0] == 'w';
-      if (!(bounded && asked.write)) {
-        asked.read = !asked.write;
-        asked.runs_as =
-            std::string(asked.write ? "WRITE " : "READ ") + shape + " k";
-        if (asked.write) RememberWrite(state);
-        Send(state, StatementKind::kExecute, "EXECUTE " + name + " k", asked,
+    if (!state->prepared.empty() && RandomBelow(3) == 0) {
+      const auto& [name, statement_template] = *state->prepared.begin();
+      sent.write = statement_template[0] == 'w';
+      if (!(bounded && sent.write)) {
+        sent.read = !sent.write;
+        sent.expected_text = std::string(sent.write ? "WRITE " : "READ ") +
+                             statement_template + " k";
+        if (sent.write) RecordWrite(state);
+        Send(state, StatementKind::kExecute, "EXECUTE " + name + " k", sent,
              name, "k");
         return;
       }
     }
-    asked = Asked();
-    asked.write = !bounded && Draw(100) < 30;
-    asked.read = !asked.write;
-    const std::string item = "k" + std::to_string(Draw(20));
-    if (asked.write) {
-      RememberWrite(state);
-      Send(state, StatementKind::kWrite, "WRITE " + item + " data", asked);
+    sent = SentStatement();
+    sent.write = !bounded && RandomBelow(100) < 30;
+    sent.read = !sent.write;
+    const std::string item = "k" + std::to_string(RandomBelow(20));
+    if (sent.write) {
+      RecordWrite(state);
+      Send(state, StatementKind::kWrite, "WRITE " + item + " data", sent);
     } else {
-      Send(state, StatementKind::kRead, "READ " + item, asked);
+      Send(state, StatementKind::kRead, "READ " + item, sent);
     }
   }
 
-  void RememberWrite(State* state) {
+  void RecordWrite(CallerState* state) {
     state->writes.push_back("s" + std::to_string(last_statement_ + 1));
   }
 
-  void Step(State* state) {
+  void AdvanceTransaction(CallerState* state) {
     if (state->steps_left > 0) {
       --state->steps_left;
-      SendWork(state);
-    } else if (state->must_roll_back || Draw(5) == 0) {
+      SendReadOrWrite(state);
+    } else if (state->must_roll_back || RandomBelow(5) == 0) {
       Send(state, StatementKind::kRollback, "ROLLBACK", {});
     } else {
-      Asked asked;
-      asked.commit = true;
-      Send(state, StatementKind::kCommit, "COMMIT", asked);
+      SentStatement sent;
+      sent.commit = true;
+      Send(state, StatementKind::kCommit, "COMMIT", sent);
     }
   }
 
-  void Succeeded(State* state, const std::string& statement, const Asked& asked,
-                 const Reply& reply) {
-    if (asked.read || asked.write || asked.commit) {
-      CheckRun(state, statement, asked, reply);
+  void HandleSuccess(CallerState* state, const std::string& statement,
+                     const SentStatement& sent, const Reply& reply) {
+    if (sent.read || sent.write || sent.commit) {
+      CheckExecution(state, statement, sent, reply);
     } else {
       EXPECT_EQ(reply.digest, "");
     }
     const auto variable = pending_variable_.find(state->id);
-    if (variable != pending_variable_.end() &&
-        asked.text.rfind("SET", 0) == 0) {
+    if (variable != pending_variable_.end() && sent.text.rfind("SET", 0) == 0) {
       state->variables[variable->second.first] = variable->second.second;
     }
     const auto prepared = pending_prepared_.find(state->id);
     if (prepared != pending_prepared_.end() &&
-        asked.text.rfind("PARSE", 0) == 0) {
+        sent.text.rfind("PARSE", 0) == 0) {
       state->prepared[prepared->second.first] = prepared->second.second;
     }
-    const bool single_write = asked.write && asked.transaction == 0;
-    const bool wrote = asked.commit && !state->writes.empty();
-    if (single_write || wrote) {
+    const bool single_write = sent.write && sent.transaction == 0;
+    const bool committed_writes = sent.commit && !state->writes.empty();
+    if (single_write || committed_writes) {
       ++tally_.acknowledged_writes;
       for (const std::string& id : state->writes) {
-        EXPECT_EQ(cluster().TimesCommitted(id), 1U) << "lost: " << id;
+        EXPECT_EQ(cluster().TimesCommitted(id), 1U)
+            << "acknowledged write not committed exactly once: " << id;
       }
-      EXPECT_FALSE(cluster().CommittedTooLate(*reply.position))
-          << "acknowledged although its primary had been replaced";
+      EXPECT_FALSE(cluster().CommittedByReplacedPrimary(*reply.position))
+          << "acknowledged a commit of a replaced primary";
       acknowledged_.push_back(
-          {Now(), *reply.position, state->id, lives_[state->id]});
+          {Now(), *reply.position, state->id, session_numbers_[state->id]});
       state->own_commits.push_back(*reply.position);
     }
-    if (asked.transaction == 0) state->writes.clear();
-    if (asked.commit || asked.text == "ROLLBACK") EndTransaction(state);
+    if (sent.transaction == 0) state->writes.clear();
+    if (sent.commit || sent.text == "ROLLBACK") EndTransaction(state);
   }
 
-  void EndTransaction(State* state) {
+  void EndTransaction(CallerState* state) {
     state->transaction = 0;
     state->must_roll_back = false;
     state->writes.clear();
   }
 
-  void Failed(State* state, const std::string& statement, const Asked& asked,
-              const Reply& reply) {
-    const bool promise = PromisesNothingKept(reply.error);
-    ++(promise ? tally_.refused : tally_.doubtful);
-    if (promise) {
-      promised_not_kept_.insert(state->writes.begin(), state->writes.end());
-      if (asked.write) promised_not_kept_.insert(statement);
+  void HandleFailure(CallerState* state, const std::string& statement,
+                     const SentStatement& sent, const Reply& reply) {
+    const bool no_effect = GuaranteesNoEffect(reply.error);
+    ++(no_effect ? tally_.refused : tally_.in_doubt);
+    if (no_effect) {
+      must_not_commit_.insert(state->writes.begin(), state->writes.end());
+      if (sent.write) must_not_commit_.insert(statement);
     }
     if (state->transaction == 0) {
       state->writes.clear();
@@ -315,84 +325,94 @@
     }
   }
 
-  const testsuite::Run* FindRun(const std::string& digest) {
-    for (auto it = cluster().runs().rbegin(); it != cluster().runs().rend();
-         ++it) {
+  const testsuite::ExecutedStatement* FindExecuted(const std::string& digest) {
+    for (auto it = cluster().executed_statements().rbegin();
+         it != cluster().executed_statements().rend(); ++it) {
       if (it->digest == digest) return &*it;
     }
     return nullptr;
   }
 
-  void CheckRun(State* state, const std::string& statement, const Asked& asked,
-                const Reply& reply) {
-    const testsuite::Run* run = FindRun(reply.digest);
-    ASSERT_NE(run, nullptr) << "success without a run: " << asked.text;
-    EXPECT_EQ(run->statement_id, statement) << "another statement's answer";
-    EXPECT_EQ(run->text, asked.runs_as) << "text was changed";
-    EXPECT_EQ(run->variables, state->variables) << "other session's variables";
-    if (asked.read) {
+  void CheckExecution(CallerState* state, const std::string& statement,
+                      const SentStatement& sent, const Reply& reply) {
+    const testsuite::ExecutedStatement* executed = FindExecuted(reply.digest);
+    ASSERT_NE(executed, nullptr)
+        << "success reported for a statement that was not executed: "
+        << sent.text;
+    EXPECT_EQ(executed->statement_id, statement)
+        << "reply belongs to another statement";
+    EXPECT_EQ(executed->text, sent.expected_text) << "statement text differs";
+    EXPECT_EQ(executed->variables, state->variables)
+        << "session variables differ";
+    if (sent.read) {
       ASSERT_EQ(reply.rows.size(), 1U);
       EXPECT_EQ(reply.rows[0], "row-" + statement);
-      CheckFresh(*state, asked, *run);
+      CheckFreshness(*state, sent, *executed);
     }
-    if (asked.transaction != 0 && !asked.commit) {
-      EXPECT_NE(run->transaction, 0U) << "ran outside its transaction";
+    if (sent.transaction != 0 && !sent.commit) {
+      EXPECT_NE(executed->transaction, 0U)
+          << "executed outside its transaction";
       if (state->database_transaction == 0) {
-        state->database_transaction = run->transaction;
-        EXPECT_TRUE(taken_transactions_.insert(run->transaction).second)
-            << "inside another caller's transaction";
+        state->database_transaction = executed->transaction;
+        EXPECT_TRUE(seen_transactions_.insert(executed->transaction).second)
+            << "executed in another caller's transaction";
       }
-      EXPECT_EQ(run->transaction, state->database_transaction)
-          << "on another connection than the transaction's first statement";
+      EXPECT_EQ(executed->transaction, state->database_transaction)
+          << "executed on another connection than the transaction's first "
+             "statement";
     }
   }
 
-  void CheckFresh(const State& state, const Asked& asked,
-                  const testsuite::Run& run) {
-    const std::set<LogPosition> held(run.log.begin(), run.log.end());
-    const std::set<LogPosition> surviving = cluster().Surviving();
-    const TimePoint begun =
-        asked.transaction != 0 ? asked.transaction_at : asked.at;
+  void CheckFreshness(const CallerState& state, const SentStatement& sent,
+                      const testsuite::ExecutedStatement& executed) {
+    const std::set<LogPosition> applied(executed.log.begin(),
+                                        executed.log.end());
+    const std::set<LogPosition> surviving = cluster().SurvivingPositions();
+    const TimePoint started_at =
+        sent.transaction != 0 ? sent.transaction_started_at : sent.sent_at;
     const bool primary = state.route == "primary";
-    const TimePoint before = primary ? begun : begun - milliseconds(1500);
-    for (const Acknowledged& commit : acknowledged_) {
+    const TimePoint must_include_before =
+        primary ? started_at : started_at - milliseconds(1500);
+    for (const AcknowledgedCommit& commit : acknowledged_) {
       const bool own = state.route == "session" && commit.caller == state.id &&
-                       commit.life == lives_.at(state.id) && commit.at < begun;
-      if (!(commit.at < before || own)) continue;
+                       commit.session_number == session_numbers_.at(state.id) &&
+                       commit.acknowledged_at < started_at;
+      if (!(commit.acknowledged_at < must_include_before || own)) continue;
       if (surviving.count(commit.position) == 0) continue;
-      EXPECT_EQ(held.count(commit.position), 1U)
-          << "stale read by " << state.route << " on " << run.database
-          << ": misses " << commit.position.term << "."
+      EXPECT_EQ(applied.count(commit.position), 1U)
+          << "stale read by " << state.route << " on " << executed.database
+          << ": missing commit " << commit.position.term << "."
           << commit.position.index;
     }
   }
 
   std::mt19937_64 random_;
-  std::map<CallerId, uint64_t> lives_;
-  std::map<CallerId, State> callers_;
+  std::map<CallerId, uint64_t> session_numbers_;
+  std::map<CallerId, CallerState> callers_;
   std::map<CallerId, std::pair<std::string, std::string>> pending_variable_;
   std::map<CallerId, std::pair<std::string, std::string>> pending_prepared_;
-  std::map<std::string, Asked> asked_;
-  std::set<std::string> promised_not_kept_;
-  std::set<uint64_t> taken_transactions_;
-  std::vector<Acknowledged> acknowledged_;
+  std::map<std::string, SentStatement> sent_;
+  std::set<std::string> must_not_commit_;
+  std::set<uint64_t> seen_transactions_;
+  std::vector<AcknowledgedCommit> acknowledged_;
   uint64_t last_statement_ = 0;
   uint64_t last_transaction_ = 0;
   bool stopped_ = false;
   Tally tally_;
 };
 
-/// The callers of several instances in virtual time.
+/// Connects the caller model to several instances in virtual time.
 class CheckedCallers : public CallerModel, public CallerListener {
  public:
-  /// With few connections for the number of instances, some forward.
-  struct Size {
+  /// Instances without database connections forward their statements; a low
+  /// connection limit makes some instances do so.
+  struct FleetSize {
     uint32_t callers = 12;
     uint32_t instances = 2;
     uint32_t connection_limit = 21;
   };
 
-  CheckedCallers(uint64_t seed, Size size)
+  CheckedCallers(uint64_t seed, FleetSize size)
       : CallerModel(seed), cluster_(&clock_, seed + 1) {
     fleet_.connection_limit = size.connection_limit;
     for (uint32_t i = 0; i < size.instances; ++i) {
@@ -414,20 +434,20 @@
   InstanceHost& host(size_t index) { return *hosts_.at(index); }
   size_t hosts() const { return hosts_.size(); }
   FakeFleet& fleet() { return fleet_; }
-  void Run(milliseconds span) { clock_.RunUntil(clock_.now() + span); }
+  void Run(milliseconds duration) { clock_.RunUntil(clock_.now() + duration); }
 
-  /// Kills an instance; its callers come back with new sessions.
+  /// Restarts an instance; its callers open new sessions.
   void RestartHost(size_t index) {
     InstanceHost* host = hosts_.at(index).get();
     host->Restart();
     for (CallerId id = 1; id <= callers_; ++id) {
       if (HostOf(id) != host) continue;
-      SessionLost(id);
+      OnSessionLost(id);
       StartCaller(id);
     }
   }
-  /// All instances hear who leads, as from the platform's list.
-  void TellRoster() {
+  /// Sends the current roster to all instances, as the platform's list does.
+  void PublishRoster() {
     for (const auto& host : hosts_) {
       host->proxy()->OnRoster(clock_.now(), TestRoster(cluster_));
     }
@@ -437,9 +457,9 @@
   InstanceHost* HostOf(CallerId id) { return hosts_[id % hosts_.size()].get(); }
 
   TimePoint Now() const override { return clock_.now(); }
-  void AskAfter(CallerId id, milliseconds pause) override {
-    clock_.After(pause, [this, id, since = life(id)] {
-      if (since == life(id)) Ask(id);
+  void SendNextAfter(CallerId id, milliseconds pause) override {
+    clock_.After(pause, [this, id, number = session_number(id)] {
+      if (number == session_number(id)) SendNext(id);
     });
   }
   void OpenSession(CallerId id, const std::string& route) override {
@@ -452,7 +472,7 @@
                                              statement);
   }
   void OnReply(CallerId caller, const Reply& reply) override {
-    Replied(caller, reply);
+    OnStatementReply(caller, reply);
   }
   void OnClosed(CallerId /*caller*/, ErrorCode /*error*/) override {}
 
--- a/testsuite/support/session/fake_cluster.h
+++ b/testsuite/support/session/fake_cluster.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// A database group in virtual time: logs, roles, replication, slots, and the
-// faults that tests order. Speaks the proxy's typed calls, no wire.
+// A simulated database group in virtual time: logs, roles, replication,
+// execution slots and injected faults. Accepts the proxy's typed calls without
+// a wire protocol.
 
 #include <algorithm>
 #include <cstdint>
@@ -27,10 +28,10 @@
 using core::session::Reply;
 using core::session::TransactionState;
 
-/// Databases of one group and the connections to them.
+/// Simulates three databases of one group and the connections to them.
 class FakeCluster {
  public:
-  using Answer = FakeSession::Answer;
+  using ReplyCallback = FakeSession::ReplyCallback;
 
   using Session = FakeSession;
 
@@ -48,46 +49,50 @@
 
   FakeDatabase& database(const std::string& id) { return databases_.at(id); }
   uint64_t term() const { return term_; }
-  const std::vector<Run>& runs() const { return runs_; }
-  /// The one that leads under the newest term.
+  const std::vector<ExecutedStatement>& executed_statements() const {
+    return executed_statements_;
+  }
+  /// Returns the primary of the newest term, or "" if there is none.
   std::string primary() const {
     for (const auto& [id, database] : databases_) {
       if (database.primary && database.term == term_) return id;
     }
     return "";
   }
-  /// From now on a replaced primary goes on leading its own term, until a
-  /// second after it can reach its successor.
-  void LetReplacedGoOn() { replaced_go_on_ = true; }
-  bool replaced_go_on() const { return replaced_go_on_; }
-  /// Partitions two databases from each other.
-  void Cut(const std::string& one, const std::string& other) {
-    databases_.at(one).cut_from.insert(other);
-    databases_.at(other).cut_from.insert(one);
+  /// Makes replaced primaries stay active in their own term until one second
+  /// after they can reach their successor.
+  void KeepReplacedActive() { replaced_stay_active_ = true; }
+  bool replaced_stay_active() const { return replaced_stay_active_; }
+  /// Blocks replication between two databases.
+  void Partition(const std::string& one, const std::string& other) {
+    databases_.at(one).partitioned_from.insert(other);
+    databases_.at(other).partitioned_from.insert(one);
   }
-  void HealCuts() {
-    for (auto& [id, database] : databases_) database.cut_from.clear();
+  void HealPartitions() {
+    for (auto& [id, database] : databases_) database.partitioned_from.clear();
   }
-  /// Whether the commit was made at a primary that had been replaced.
-  bool CommittedTooLate(const LogPosition& position) const {
-    return committed_late_.count(position) > 0;
+  /// Returns whether a primary made this commit after it had been replaced.
+  bool CommittedByReplacedPrimary(const LogPosition& position) const {
+    return stale_commits_.count(position) > 0;
   }
   uint32_t connections(const std::string& id) const {
     uint32_t count = 0;
     for (const auto& [number, session] : sessions_) {
-      const bool counts = !session.dead || clock_->now() < session.counts_until;
-      count += counts && session.database == id ? 1 : 0;
+      const bool is_counted =
+          !session.closed || clock_->now() < session.counted_until;
+      count += is_counted && session.database == id ? 1 : 0;
     }
     return count;
   }
 
-  /// Opens a connection; nothing is answered by a database that is down.
+  /// Opens a connection. Returns nullopt if the database is down (`error` is
+  /// kNone then) or has reached its connection limit.
   std::optional<uint64_t> Connect(const std::string& id, ErrorCode* error) {
     *error = ErrorCode::kNone;
     FakeDatabase& target = databases_.at(id);
     if (!target.up) return std::nullopt;
     if (connections(id) >= target.max_connections) {
-      ++over_limit_;
+      ++refused_at_limit_;
       *error = ErrorCode::kTooManyConnections;
       return std::nullopt;
     }
@@ -96,41 +101,41 @@
     return number;
   }
 
-  void Call(uint64_t number, const BackendCall& call, Answer answer) {
+  void Call(uint64_t number, const BackendCall& call, ReplyCallback on_reply) {
     Session& session = sessions_.at(number);
-    session.calls.emplace_back(call, std::move(answer));
-    if (!session.busy) Next(number);
+    session.calls.emplace_back(call, std::move(on_reply));
+    if (!session.busy) StartNextCall(number);
   }
 
   void Disconnect(uint64_t number) {
     const auto found = sessions_.find(number);
-    if (found != sessions_.end()) Abandon(&found->second);
+    if (found != sessions_.end()) CloseSession(&found->second);
   }
 
-  /// The other side has lost power: the database counts the connection for a
-  /// while longer.
-  void LosePower(uint64_t number) {
+  /// Closes a connection whose client lost power. The database counts it
+  /// against its limit until kDeadPeerTimeout has passed.
+  void DisconnectByPowerLoss(uint64_t number) {
     Disconnect(number);
-    sessions_.at(number).counts_until = clock_->now() + kLinger;
+    sessions_.at(number).counted_until = clock_->now() + kDeadPeerTimeout;
   }
-  /// Connections turned away since the database held all that it takes.
-  uint64_t over_limit() const { return over_limit_; }
+  /// Number of connections refused at the connection limit.
+  uint64_t over_limit() const { return refused_at_limit_; }
 
-  /// The connection goes on but carries nothing any more.
-  void Silence(uint64_t number) { sessions_.at(number).silent = true; }
+  /// Keeps the connection open but drops all data on it from now on.
+  void Stall(uint64_t number) { sessions_.at(number).stalled = true; }
 
-  /// Ends the database with all its connections.
+  /// Stops the database and closes its connections.
   void Crash(const std::string& id) {
     FakeDatabase& target = databases_.at(id);
     target.up = false;
-    target.waiting.clear();
+    target.queue.clear();
     target.running = 0;
     for (auto& [number, session] : sessions_) {
-      if (session.database == id) Abandon(&session);
+      if (session.database == id) CloseSession(&session);
     }
   }
   void Restart(const std::string& id) { databases_.at(id).up = true; }
-  /// Starts it again under its id, with nothing of what it held and knew.
+  /// Restarts the database under the same id with empty state.
   void StartAnew(const std::string& id) {
     Crash(id);
     FakeDatabase& database = databases_.at(id);
@@ -142,24 +147,25 @@
     database.up = true;
   }
 
-  /// The database leads the next term with what it has received.
+  /// Makes the database primary of the next term with the log it has received.
   void Promote(const std::string& id) {
-    FakeDatabase& leader = databases_.at(id);
+    FakeDatabase& new_primary = databases_.at(id);
     ++term_;
-    leader.primary = true;
-    leader.term = term_;
-    Discard(leader);
+    new_primary.primary = true;
+    new_primary.term = term_;
+    RecordDiscarded(new_primary);
     for (auto& [other, database] : databases_) {
       if (other == id) continue;
-      const bool learns = leader.cut_from.count(other) == 0 && !database.deaf;
-      const bool goes_on =
-          replaced_go_on_ && database.up && (database.primary || !learns);
-      if (!goes_on) Follow(&database, leader);
+      const bool receives_promotion =
+          new_primary.partitioned_from.count(other) == 0 && !database.detached;
+      const bool stays_active = replaced_stay_active_ && database.up &&
+                                (database.primary || !receives_promotion);
+      if (!stays_active) Follow(&database, new_primary);
     }
   }
 
-  /// Positions whose commits no promotion has discarded.
-  std::set<LogPosition> Surviving() const {
+  /// Returns the positions in the primary's log that no promotion discarded.
+  std::set<LogPosition> SurvivingPositions() const {
     std::set<LogPosition> positions;
     for (const LogEntry& entry : databases_.at(primary()).log) {
       if (discarded_.count(entry.position) == 0) {
@@ -173,20 +179,21 @@
   }
 
  private:
-  static constexpr milliseconds kSync{3};
-  /// How long connections count whose other side has lost power.
-  static constexpr milliseconds kLinger{3000};
-  /// How long an old primary goes on once it reaches its successor.
-  static constexpr milliseconds kGoesOn{1000};
+  static constexpr milliseconds kReplicationInterval{3};
+  /// Time for which a connection counts after its client lost power.
+  static constexpr milliseconds kDeadPeerTimeout{3000};
+  /// Time for which a replaced primary stays active once it can reach its
+  /// successor.
+  static constexpr milliseconds kStepDownDelay{1000};
   static constexpr uint32_t kSlots = 3;
-  static constexpr uint32_t kQueue = 24;
+  static constexpr uint32_t kQueueCapacity = 24;
 
-  void Abandon(Session* session) {
-    session->dead = true;
+  void CloseSession(Session* session) {
+    session->closed = true;
     session->calls.clear();
   }
 
-  size_t Applied(const FakeDatabase& database) const {
+  size_t AppliedCount(const FakeDatabase& database) const {
     if (database.primary) return database.log.size();
     size_t applied = 0;
     while (applied < database.log.size() &&
@@ -196,25 +203,26 @@
     return applied;
   }
 
-  LogPosition PositionOf(const FakeDatabase& database) const {
-    const size_t applied = Applied(database);
+  LogPosition AppliedPosition(const FakeDatabase& database) const {
+    const size_t applied = AppliedCount(database);
     if (applied == 0) return {1, 0};
     return database.log[applied - 1].position;
   }
 
-  bool Holds(const FakeDatabase& database, const LogPosition& since) const {
-    return since.index == 0 || PositionOf(database) >= since;
+  bool HasApplied(const FakeDatabase& database,
+                  const LogPosition& since) const {
+    return since.index == 0 || AppliedPosition(database) >= since;
   }
 
-  /// Remembers what a promotion discards: a later leader that never heard of
-  /// it may still have the entries, but callers cannot count on them.
-  void Discard(const FakeDatabase& leader) {
+  /// Records the entries that a promotion discards. A later primary that missed
+  /// this promotion may still hold them, but callers cannot rely on them.
+  void RecordDiscarded(const FakeDatabase& new_primary) {
     std::set<LogPosition> kept;
-    for (const LogEntry& entry : leader.log) {
+    for (const LogEntry& entry : new_primary.log) {
       kept.insert(entry.position);
-      // A replaced primary that is promoted once more makes what it went on to
-      // commit part of the newest term's log.
-      committed_late_.erase(entry.position);
+      // Commits that a replaced primary made become valid when it is promoted
+      // again.
+      stale_commits_.erase(entry.position);
     }
     for (const auto& [id, database] : databases_) {
       for (const LogEntry& entry : database.log) {
@@ -223,53 +231,55 @@
     }
   }
 
-  /// Takes over the leader's term and drops what it lacks.
-  void Follow(FakeDatabase* database, const FakeDatabase& leader) {
+  /// Adopts the primary's term and truncates entries that its log lacks.
+  void Follow(FakeDatabase* database, const FakeDatabase& new_primary) {
     database->primary = false;
-    database->term = leader.term;
+    database->term = new_primary.term;
     database->reaches_successor_since = TimePoint();
     size_t same = 0;
-    while (same < database->log.size() && same < leader.log.size() &&
-           database->log[same].position == leader.log[same].position) {
+    while (same < database->log.size() && same < new_primary.log.size() &&
+           database->log[same].position == new_primary.log[same].position) {
       ++same;
     }
     database->log.resize(same);
     database->received_at.resize(same);
   }
 
-  /// The primary of the newest term in reach of the database, not below its
-  /// own; null when there is none.
-  const FakeDatabase* SourceOf(const FakeDatabase& database) const {
+  /// Returns the reachable primary with the highest term that is not below the
+  /// database's own, or null if there is none.
+  const FakeDatabase* ReplicationSource(const FakeDatabase& database) const {
     const FakeDatabase* best = nullptr;
     for (const auto& [id, other] : databases_) {
-      const bool leads = other.primary && other.up && id != database.id;
-      if (!leads || database.cut_from.count(id) > 0) continue;
+      const bool is_candidate = other.primary && other.up && id != database.id;
+      if (!is_candidate || database.partitioned_from.count(id) > 0) continue;
       if (other.term < database.term) continue;
       if (best == nullptr || other.term > best->term) best = &other;
     }
     return best;
   }
 
-  /// An old primary that goes on learns of its successor.
-  void MeetSuccessor(FakeDatabase* database) {
-    const FakeDatabase* successor = SourceOf(*database);
+  /// Demotes a replaced primary that has reached its successor for
+  /// kStepDownDelay.
+  void StepDownIfReplaced(FakeDatabase* database) {
+    const FakeDatabase* successor = ReplicationSource(*database);
     if (successor == nullptr || successor->term == database->term) {
       database->reaches_successor_since = TimePoint();
     } else if (database->reaches_successor_since == TimePoint()) {
       database->reaches_successor_since = clock_->now();
-    } else if (clock_->now() - database->reaches_successor_since >= kGoesOn) {
+    } else if (clock_->now() - database->reaches_successor_since >=
+               kStepDownDelay) {
       Follow(database, *successor);
     }
   }
 
   void Replicate() {
     for (auto& [id, database] : databases_) {
-      if (database.deaf || !database.up) continue;
+      if (database.detached || !database.up) continue;
       if (database.primary) {
-        MeetSuccessor(&database);
+        StepDownIfReplaced(&database);
         continue;
       }
-      const FakeDatabase* source = SourceOf(database);
+      const FakeDatabase* source = ReplicationSource(database);
       if (source == nullptr) continue;
       if (source->term > database.term) Follow(&database, *source);
       for (size_t i = database.log.size(); i < source->log.size(); ++i) {
@@ -277,142 +287,145 @@
         database.received_at.push_back(clock_->now());
       }
     }
-    clock_->After(kSync, [this] { Replicate(); });
+    clock_->After(kReplicationInterval, [this] { Replicate(); });
   }
 
-  void Next(uint64_t number) {
+  void StartNextCall(uint64_t number) {
     Session& session = sessions_.at(number);
-    if (session.dead || session.silent || session.calls.empty()) return;
+    if (session.closed || session.stalled || session.calls.empty()) return;
     session.busy = true;
     const BackendCall call = session.calls.front().first;
-    const bool slot = call.kind == CallKind::kVerbatim ||
-                      call.kind == CallKind::kExecute ||
-                      call.kind == CallKind::kStatus;
-    if (slot) {
-      TakeSlot(number);
+    const bool needs_slot = call.kind == CallKind::kVerbatim ||
+                            call.kind == CallKind::kExecute ||
+                            call.kind == CallKind::kStatus;
+    if (needs_slot) {
+      AcquireSlot(number);
     } else {
-      Conclude(number, Perform(&session, call));
+      FinishCall(number, ExecuteCall(&session, call));
     }
   }
 
-  void TakeSlot(uint64_t number) {
+  void AcquireSlot(uint64_t number) {
     FakeDatabase& database = databases_.at(sessions_.at(number).database);
     if (database.running >= kSlots) {
-      if (database.waiting.size() >= kQueue) {
-        Reply busy = Told(sessions_.at(number), database);
+      if (database.queue.size() >= kQueueCapacity) {
+        Reply busy = MakeReply(sessions_.at(number), database);
         busy.error = ErrorCode::kBusy;
-        Conclude(number, busy);
+        FinishCall(number, busy);
         return;
       }
-      database.waiting.push_back([this, number] { Occupy(number); });
+      database.queue.push_back([this, number] { ExecuteInSlot(number); });
       return;
     }
-    Occupy(number);
+    ExecuteInSlot(number);
   }
 
-  void Occupy(uint64_t number) {
+  void ExecuteInSlot(uint64_t number) {
     const std::string id = sessions_.at(number).database;
     ++databases_.at(id).running;
-    std::uniform_int_distribution<int64_t> work(2, 40);
-    const milliseconds time(work(random_));
-    clock_->After(time + databases_.at(id).slow, [this, number, id] {
+    std::uniform_int_distribution<int64_t> work_ms(2, 40);
+    const milliseconds time(work_ms(random_));
+    clock_->After(time + databases_.at(id).extra_latency, [this, number, id] {
       FakeDatabase& database = databases_.at(id);
       if (database.running > 0) --database.running;
       Session& session = sessions_.at(number);
-      if (!session.dead && !session.calls.empty()) {
+      if (!session.closed && !session.calls.empty()) {
         const BackendCall call = session.calls.front().first;
-        Conclude(number, Perform(&session, call));
+        FinishCall(number, ExecuteCall(&session, call));
       }
-      if (!database.waiting.empty() && database.running < kSlots) {
-        const auto next = std::move(database.waiting.front());
-        database.waiting.pop_front();
+      if (!database.queue.empty() && database.running < kSlots) {
+        const auto next = std::move(database.queue.front());
+        database.queue.pop_front();
         next();
       }
     });
   }
 
-  void Conclude(uint64_t number, const Reply& reply) {
+  void FinishCall(uint64_t number, const Reply& reply) {
     Session& session = sessions_.at(number);
-    const Answer answer = std::move(session.calls.front().second);
+    const ReplyCallback on_reply = std::move(session.calls.front().second);
     session.calls.pop_front();
     session.busy = false;
     FakeDatabase& database = databases_.at(session.database);
     if (database.lose_one_in > 0 && random_() % database.lose_one_in == 0) {
-      session.silent = true;
+      session.stalled = true;
     }
-    if (!session.silent) {
-      clock_->After(milliseconds(1), [this, number, answer, reply] {
-        if (!sessions_.at(number).dead && !sessions_.at(number).silent) {
-          answer(reply);
+    if (!session.stalled) {
+      clock_->After(milliseconds(1), [this, number, on_reply, reply] {
+        if (!sessions_.at(number).closed && !sessions_.at(number).stalled) {
+          on_reply(reply);
         }
       });
     }
-    Next(number);
+    StartNextCall(number);
   }
 
-  Reply Told(const Session& session, const FakeDatabase& database) const {
+  Reply MakeReply(const Session& session, const FakeDatabase& database) const {
     Reply reply;
     reply.state = session.state;
-    reply.position = PositionOf(database);
+    reply.position = AppliedPosition(database);
     return reply;
   }
 
-  Reply Fail(Session* session, FakeDatabase* database, ErrorCode error) {
+  Reply FailStatement(Session* session, FakeDatabase* database,
+                      ErrorCode error) {
     if (session->state == TransactionState::kOpen) {
       session->state = TransactionState::kFailed;
       session->writes.clear();
     }
-    Reply reply = Told(*session, *database);
+    Reply reply = MakeReply(*session, *database);
     reply.error = error;
     return reply;
   }
 
-  Reply Perform(Session* session, const BackendCall& call) {
+  Reply ExecuteCall(Session* session, const BackendCall& call) {
     FakeDatabase& database = databases_.at(session->database);
-    if (call.since.has_value() && !Holds(database, *call.since)) {
-      return Fail(session, &database, ErrorCode::kLagging);
+    if (call.since.has_value() && !HasApplied(database, *call.since)) {
+      return FailStatement(session, &database, ErrorCode::kLagging);
     }
     switch (call.kind) {
       case CallKind::kBegin:
       case CallKind::kBeginRead:
-        return Begin(session, &database, call.kind == CallKind::kBegin);
+        return BeginTransaction(session, &database,
+                                call.kind == CallKind::kBegin);
       case CallKind::kRollback:
         session->state = TransactionState::kIdle;
         session->transaction = 0;
         session->writes.clear();
-        return Told(*session, database);
+        return MakeReply(*session, database);
       case CallKind::kSet:
         session->variables[call.name] = call.text;
-        return Told(*session, database);
+        return MakeReply(*session, database);
       case CallKind::kPrepare:
         session->prepared[call.name] =
             std::string(call.writes ? "WRITE " : "READ ") + call.text;
-        return Told(*session, database);
+        return MakeReply(*session, database);
       case CallKind::kDiscard:
         session->variables.clear();
         session->prepared.clear();
-        return Told(*session, database);
+        return MakeReply(*session, database);
       case CallKind::kStatus:
-        return Status(session, &database);
+        return ReportStatus(session, &database);
       case CallKind::kVerbatim:
       case CallKind::kExecute:
-        return Statement(session, &database, call);
+        return ExecuteStatement(session, &database, call);
     }
-    return Told(*session, database);
+    return MakeReply(*session, database);
   }
 
-  Reply Begin(Session* session, FakeDatabase* database, bool plain) {
-    if (plain && !database->primary) {
-      return Fail(session, database, ErrorCode::kReadOnly);
+  Reply BeginTransaction(Session* session, FakeDatabase* database,
+                         bool read_write) {
+    if (read_write && !database->primary) {
+      return FailStatement(session, database, ErrorCode::kReadOnly);
     }
     session->state = TransactionState::kOpen;
-    session->plain = plain;
+    session->read_write = read_write;
     session->transaction = ++last_transaction_;
-    return Told(*session, *database);
+    return MakeReply(*session, *database);
   }
 
-  Reply Status(Session* session, FakeDatabase* database) {
-    Reply reply = Told(*session, *database);
+  Reply ReportStatus(Session* session, FakeDatabase* database) {
+    Reply reply = MakeReply(*session, *database);
     core::session::StatusReport report;
     report.primary = database->primary;
     report.term = database->term;
@@ -421,61 +434,65 @@
     return reply;
   }
 
-  Reply Statement(Session* session, FakeDatabase* database,
-                  const BackendCall& call) {
+  Reply ExecuteStatement(Session* session, FakeDatabase* database,
+                         const BackendCall& call) {
     if (session->state == TransactionState::kFailed) {
-      return Fail(session, database, ErrorCode::kMalformed);
+      return FailStatement(session, database, ErrorCode::kMalformed);
     }
     std::string text = call.text;
     if (call.kind == CallKind::kExecute) {
       const auto found = session->prepared.find(call.name);
       if (found == session->prepared.end()) {
-        return Fail(session, database, ErrorCode::kNoStatement);
+        return FailStatement(session, database, ErrorCode::kNoStatement);
       }
       text = found->second + " " + call.text;
     }
     const bool commit = text == "COMMIT";
     const bool writes = text.rfind("WRITE", 0) == 0;
     const bool open = session->state == TransactionState::kOpen;
-    const bool lost_lead = open && session->plain && !database->primary;
-    const bool harmless = commit && session->writes.empty();
-    if ((lost_lead && !harmless) || (writes && !database->primary)) {
-      return Fail(session, database, ErrorCode::kReadOnly);
+    const bool lost_primary_role =
+        open && session->read_write && !database->primary;
+    const bool empty_commit = commit && session->writes.empty();
+    if ((lost_primary_role && !empty_commit) ||
+        (writes && !database->primary)) {
+      return FailStatement(session, database, ErrorCode::kReadOnly);
     }
-    Run run;
-    run.statement_id = call.id;
-    run.digest = "digest-" + std::to_string(runs_.size()) + "-" + call.id;
-    run.database = database->id;
-    run.variables = session->variables;
-    run.text = text;
-    run.transaction = session->transaction;
-    const size_t applied = Applied(*database);
+    ExecutedStatement executed;
+    executed.statement_id = call.id;
+    executed.digest =
+        "digest-" + std::to_string(executed_statements_.size()) + "-" + call.id;
+    executed.database = database->id;
+    executed.variables = session->variables;
+    executed.text = text;
+    executed.transaction = session->transaction;
+    const size_t applied = AppliedCount(*database);
     for (size_t i = 0; i < applied; ++i) {
-      run.log.push_back(database->log[i].position);
+      executed.log.push_back(database->log[i].position);
     }
     if (writes && open) session->writes.push_back(call.id);
-    if (writes && !open) Commit(database, {call.id});
+    if (writes && !open) AppendCommit(database, {call.id});
     if (commit) {
-      Commit(database, session->writes);
+      AppendCommit(database, session->writes);
       session->writes.clear();
       session->state = TransactionState::kIdle;
       session->transaction = 0;
     }
-    Reply reply = Told(*session, *database);
-    reply.digest = run.digest;
+    Reply reply = MakeReply(*session, *database);
+    reply.digest = executed.digest;
     if (!commit && !writes) reply.rows.push_back("row-" + call.id);
-    runs_.push_back(std::move(run));
+    executed_statements_.push_back(std::move(executed));
     return reply;
   }
 
-  void Commit(FakeDatabase* database, const std::vector<std::string>& writes) {
+  void AppendCommit(FakeDatabase* database,
+                    const std::vector<std::string>& writes) {
     if (writes.empty()) return;
     LogEntry entry;
     entry.position.term = database->term;
     entry.position.index =
         database->log.empty() ? 1 : database->log.back().position.index + 1;
     entry.statement_id = writes.front();
-    if (database->term < term_) committed_late_.insert(entry.position);
+    if (database->term < term_) stale_commits_.insert(entry.position);
     database->log.push_back(entry);
     database->received_at.push_back(clock_->now());
     for (const std::string& id : writes) ++commits_[id];
@@ -486,14 +503,15 @@
   std::map<std::string, FakeDatabase> databases_;
   std::map<uint64_t, Session> sessions_;
   uint64_t last_session_ = 0;
-  uint64_t over_limit_ = 0;
+  uint64_t refused_at_limit_ = 0;
   uint64_t last_transaction_ = 0;
-  /// The newest.
+  /// Term of the last promotion.
   uint64_t term_ = 1;
-  bool replaced_go_on_ = false;
-  std::set<LogPosition> committed_late_;
+  bool replaced_stay_active_ = false;
+  /// Commits that primaries made after their replacement.
+  std::set<LogPosition> stale_commits_;
   std::set<LogPosition> discarded_;
-  std::vector<Run> runs_;
+  std::vector<ExecutedStatement> executed_statements_;
   std::map<std::string, uint32_t> commits_;
 };
 
--- a/testsuite/support/session/fake_database.h
+++ b/testsuite/support/session/fake_database.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// One database of a fake cluster: its log, its place among the others, and the
-// faults that tests order.
+// State of one database of a fake cluster: its log, its role, and the faults
+// that tests inject.
 
 #include <cstdint>
 #include <deque>
@@ -20,23 +20,23 @@
 
 using core::LogPosition;
 
-/// A write in the log.
+/// A committed write in the replication log.
 struct LogEntry {
   LogPosition position;
   std::string statement_id;
 };
 
-/// One statement that a database ran, as the checks see it.
-struct Run {
+/// Record of one statement that a database executed.
+struct ExecutedStatement {
   std::string statement_id;
   std::string digest;
   std::string database;
-  /// Positions that the log held when it ran.
+  /// Applied log positions at the time of execution.
   std::vector<LogPosition> log;
   std::map<std::string, std::string> variables;
-  /// Statement text, or shape and arguments of a prepared one.
+  /// Statement text; for a prepared statement, its template and arguments.
   std::string text;
-  /// Number of the transaction on the database; 0 outside of one.
+  /// Transaction number assigned by the database; 0 outside a transaction.
   uint64_t transaction = 0;
   bool committed = false;
 };
@@ -44,49 +44,49 @@
 struct FakeDatabase {
   std::string id;
   std::string failure_domain;
-  /// Takes itself for the primary.
+  /// Whether the database acts as a primary, also after its replacement.
   bool primary = false;
-  /// Newest term that it knows of.
+  /// Highest term that the database has received.
   uint64_t term = 1;
-  /// Since when an old primary that goes on reaches the one that replaced it;
-  /// epoch when it does not.
+  /// Time since which a replaced primary can reach its successor; epoch while
+  /// it cannot.
   TimePoint reaches_successor_since;
   TimePoint born;
-  /// Databases that it is partitioned from.
-  std::set<std::string> cut_from;
+  /// Ids of databases on the other side of a network partition.
+  std::set<std::string> partitioned_from;
   bool up = true;
-  /// Receives nothing from the primary.
-  bool deaf = false;
+  /// Whether replication from the primary is stopped.
+  bool detached = false;
   milliseconds lag{20};
-  /// Every answer takes this long more.
-  milliseconds slow{0};
-  /// One answer in this many is lost; 0: none.
+  /// Added to the execution time of every statement.
+  milliseconds extra_latency{0};
+  /// Loses about one in this many replies; 0 loses none.
   uint32_t lose_one_in = 0;
   uint32_t max_connections = 21;
   std::vector<LogEntry> log;
   std::vector<TimePoint> received_at;
   uint32_t running = 0;
-  std::deque<std::function<void()>> waiting;
+  std::deque<std::function<void()>> queue;
 };
 
 /// One connection to a fake database.
 struct FakeSession {
-  using Answer = std::function<void(core::session::Reply)>;
+  using ReplyCallback = std::function<void(core::session::Reply)>;
 
   std::string database;
-  bool dead = false;
-  /// A dead one counts as open until then.
-  TimePoint counts_until;
-  /// Cut: nothing arrives in either direction.
-  bool silent = false;
+  bool closed = false;
+  /// Time until which a closed connection still counts as open.
+  TimePoint counted_until;
+  /// Whether data is dropped in both directions while the connection is open.
+  bool stalled = false;
   std::map<std::string, std::string> variables;
   std::map<std::string, std::string> prepared;
   core::session::TransactionState state =
       core::session::TransactionState::kIdle;
-  bool plain = false;
+  bool read_write = false;
   uint64_t transaction = 0;
   std::vector<std::string> writes;
-  std::deque<std::pair<core::session::BackendCall, Answer>> calls;
+  std::deque<std::pair<core::session::BackendCall, ReplyCallback>> calls;
   bool busy = false;
 };
 
--- a/testsuite/support/session/instance_host.h
+++ b/testsuite/support/session/instance_host.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One instance's session proxy in virtual time, between test callers and a
+// Runs one instance's session proxy in virtual time between test callers and a
 // fake database group.
 
 #include <functional>
@@ -74,7 +74,7 @@
   return statement;
 }
 
-/// Tells a test what callers get.
+/// Receives the replies and closures that callers see.
 class CallerListener {
  public:
   virtual ~CallerListener() = default;
@@ -84,20 +84,21 @@
 
 class InstanceHost;
 
-/// The instances of a test by name, and how streams between them fare.
+/// Instances of a test by name, shared settings, and faults of the streams
+/// between instances.
 struct FakeFleet {
   std::map<std::string, InstanceHost*> instances;
   std::vector<core::session::KeeperCandidate> candidates;
-  /// One forwarded statement in this many loses its answer; 0: none.
+  /// Loses the reply of one in this many forwarded statements; 0 loses none.
   uint32_t lose_one_in = 0;
-  uint64_t forwarded = 0;
-  /// The last statement that was forwarded, and where to.
+  uint64_t forwarded_count = 0;
+  /// The most recently forwarded statement and its destination.
   core::session::ForwardedStatement last_forwarded;
-  std::string last_keeper;
+  std::string last_forward_keeper;
   uint32_t connection_limit = 21;
-  /// What the store holds instead of `TestRoutes`.
+  /// Routes in the store; `TestRoutes` if not set.
   std::optional<RouteTable> routes;
-  /// Instances that no other one reaches, nor they any other.
+  /// Instances that are partitioned from all other instances.
   std::set<std::string> parted;
 
   bool Reaches(const std::string& one, const std::string& other) const {
@@ -105,8 +106,9 @@
   }
 };
 
-/// Silence after which streams give up what may run again elsewhere.
-constexpr milliseconds kStreamSilence{300};
+/// Time without contact after which a stream fails statements that may run
+/// again elsewhere.
+constexpr milliseconds kStreamTimeout{300};
 
 class InstanceHost : public core::session::SessionPort,
                      public core::session::Forwarder {
@@ -126,30 +128,31 @@
     Tick();
   }
 
-  /// Ends the process with all it held and starts another.
+  /// Restarts the instance with empty state and closes its connections.
   void Restart() {
     for (const auto& [connection, session] : sessions_) {
       cluster_->Disconnect(session);
     }
-    StartAgain();
+    RestartProcess();
   }
-  /// The same; the store is read only after a while.
-  void RestartWithoutStore(milliseconds listed_after) {
+  /// Restarts the instance; it reads the store only after `store_delay`.
+  void RestartWithStoreDelay(milliseconds store_delay) {
     for (const auto& [connection, session] : sessions_) {
       cluster_->Disconnect(session);
     }
-    told_at_ = clock_->now() + listed_after;
-    StartAgain();
-    clock_->At(told_at_, [this, life = life_] {
-      if (life == life_) ReadStore();
+    store_readable_at_ = clock_->now() + store_delay;
+    RestartProcess();
+    clock_->At(store_readable_at_, [this, boot = boot_] {
+      if (boot == boot_) LoadFromStore();
     });
   }
-  /// The same with the machine: databases do not hear of it.
+  /// Restarts the instance without closing its connections to the databases, as
+  /// after a power loss.
   void RestartAfterPowerLoss() {
     for (const auto& [connection, session] : sessions_) {
-      cluster_->LosePower(session);
+      cluster_->DisconnectByPowerLoss(session);
     }
-    StartAgain();
+    RestartProcess();
   }
 
   Proxy* proxy() { return proxy_.get(); }
@@ -167,13 +170,13 @@
 
   void OpenConnection(ConnectionId connection, const Database& database,
                       const std::string& workspace) override {
-    ++opened_;
+    ++opened_connections_;
     workspaces_[connection] = workspace;
     databases_[connection] = database.id;
-    if (cut_.count(database.id) > 0) return;
+    if (unreachable_databases_.count(database.id) > 0) return;
     clock_->After(
-        milliseconds(12), [this, connection, id = database.id, life = life_] {
-          if (life != life_) return;
+        milliseconds(12), [this, connection, id = database.id, boot = boot_] {
+          if (boot != boot_) return;
           ErrorCode error = ErrorCode::kNone;
           const auto session = cluster_->Connect(id, &error);
           if (session.has_value()) {
@@ -192,14 +195,14 @@
     for (const BackendCall& call : calls) {
       status_calls_ += call.kind == CallKind::kStatus ? 1 : 0;
       if (call.id.empty()) continue;
-      sent_for_.emplace_back(call.text, workspaces_.at(connection));
+      sent_statements_.emplace_back(call.text, workspaces_.at(connection));
     }
     clock_->After(
-        milliseconds(1), [this, connection, session, calls, life = life_] {
+        milliseconds(1), [this, connection, session, calls, boot = boot_] {
           for (const BackendCall& call : calls) {
             cluster_->Call(
-                session, call, [this, connection, life](const Reply& reply) {
-                  if (life != life_ || sessions_.count(connection) == 0) return;
+                session, call, [this, connection, boot](const Reply& reply) {
+                  if (boot != boot_ || sessions_.count(connection) == 0) return;
                   proxy_->CallAnswered(clock_->now(), connection, reply);
                 });
           }
@@ -212,7 +215,7 @@
     sessions_.erase(found);
   }
 
-  /// The database's end of all its connections is gone; the proxy is told.
+  /// Closes all database connections and reports their loss to the proxy.
   void BreakConnections() {
     const auto sessions = sessions_;
     for (const auto& [connection, session] : sessions) {
@@ -221,158 +224,162 @@
       proxy_->ConnectionLost(clock_->now(), connection);
     }
   }
-  /// The path to the database is gone until `Reconnect`: connections go silent,
-  /// openings get no answer.
-  void CutFrom(const std::string& database) {
-    cut_.insert(database);
+  /// Makes the database unreachable until `Reconnect`: open connections drop
+  /// all data, and new ones get no answer.
+  void PartitionFrom(const std::string& database) {
+    unreachable_databases_.insert(database);
     for (const auto& [connection, id] : databases_) {
       if (id == database && sessions_.count(connection) > 0) {
-        cluster_->Silence(sessions_.at(connection));
+        cluster_->Stall(sessions_.at(connection));
       }
     }
   }
-  void Reconnect() { cut_.clear(); }
+  void Reconnect() { unreachable_databases_.clear(); }
 
-  /// Connections go on without carrying anything; nobody is told.
-  void SilenceConnections() {
+  /// Drops all data on the open database connections without closing them.
+  void StallConnections() {
     for (const auto& [connection, session] : sessions_) {
-      cluster_->Silence(session);
+      cluster_->Stall(session);
     }
   }
-  uint32_t opened() const { return opened_; }
-  /// Text of each statement of a caller that was sent, and whose connection it
-  /// went to.
-  const std::vector<std::pair<std::string, std::string>>& sent_for() const {
-    return sent_for_;
+  uint32_t opened_connections() const { return opened_connections_; }
+  /// Text of each caller statement sent to a database, and the workspace of its
+  /// connection.
+  const std::vector<std::pair<std::string, std::string>>& sent_statements()
+      const {
+    return sent_statements_;
   }
-  /// Status calls that were sent.
+  /// Number of status calls sent.
   uint32_t status_calls() const { return status_calls_; }
 
   void Forward(core::session::ForwardId call, const std::string& keeper,
                const core::session::ForwardedStatement& statement,
                const core::session::ForwardTerms& terms) override {
     using core::session::ForwardOutcome;
-    ++fleet_->forwarded;
+    ++fleet_->forwarded_count;
     fleet_->last_forwarded = statement;
-    fleet_->last_keeper = keeper;
-    // A stream that has been given up delivers nothing any more, also when the
-    // same call has been sent again since.
+    fleet_->last_forward_keeper = keeper;
+    // The stream number makes a failed stream's late reply distinguishable from
+    // that of a later attempt of the same call.
     const uint64_t stream = ++last_stream_;
-    waiting_[call] = stream;
-    InstanceHost* target = fleet_->instances.at(keeper);
-    const bool lost =
-        fleet_->lose_one_in > 0 && fleet_->forwarded % fleet_->lose_one_in == 0;
+    pending_streams_[call] = stream;
+    InstanceHost* keeper_host = fleet_->instances.at(keeper);
+    const bool reply_lost = fleet_->lose_one_in > 0 &&
+                            fleet_->forwarded_count % fleet_->lose_one_in == 0;
     if (!fleet_->Reaches(name_, keeper)) {
       clock_->At(terms.alive_by, [this, call, stream] {
-        Answered(call, stream, ForwardOutcome::kNotSent, Reply());
+        CompleteForward(call, stream, ForwardOutcome::kNotSent, Reply());
       });
       return;
     }
     clock_->At(terms.deadline, [this, call, stream] {
-      Answered(call, stream, ForwardOutcome::kLost, Reply());
+      CompleteForward(call, stream, ForwardOutcome::kLost, Reply());
     });
-    if (terms.lost_in_silence) LookForSilence(call, stream, keeper);
-    clock_->After(
-        milliseconds(1), [this, target, call, statement, lost, stream] {
-          target->Adopt(statement, [this, target, call, lost,
-                                    stream](const Reply& reply) {
-            if (lost || !fleet_->Reaches(name_, target->name())) return;
-            clock_->After(milliseconds(1), [this, call, reply, stream] {
-              Answered(call, stream, ForwardOutcome::kAnswered, reply);
-            });
-          });
+    if (terms.lost_in_silence) CheckStreamAlive(call, stream, keeper);
+    clock_->After(milliseconds(1), [this, keeper_host, call, statement,
+                                    reply_lost, stream] {
+      keeper_host->Adopt(statement, [this, keeper_host, call, reply_lost,
+                                     stream](const Reply& reply) {
+        if (reply_lost || !fleet_->Reaches(name_, keeper_host->name())) return;
+        clock_->After(milliseconds(1), [this, call, reply, stream] {
+          CompleteForward(call, stream, ForwardOutcome::kAnswered, reply);
         });
+      });
+    });
   }
   void Probe(const std::string& instance, TimePoint deadline) override {
     const bool alive = fleet_->Reaches(name_, instance);
     const TimePoint at = alive ? clock_->now() + milliseconds(2) : deadline;
-    clock_->At(at, [this, instance, alive, life = life_] {
-      if (life != life_) return;
+    clock_->At(at, [this, instance, alive, boot = boot_] {
+      if (boot != boot_) return;
       proxy_->InstanceProbed(clock_->now(), instance, alive);
     });
   }
-  void Cancel(core::session::ForwardId call) override { waiting_.erase(call); }
+  void Cancel(core::session::ForwardId call) override {
+    pending_streams_.erase(call);
+  }
   void Release(const std::string& keeper, const std::string& session) override {
-    InstanceHost* target = fleet_->instances.at(keeper);
-    clock_->After(milliseconds(1), [target, session] {
-      const auto caller = target->adopted_.Find(session);
+    InstanceHost* keeper_host = fleet_->instances.at(keeper);
+    clock_->After(milliseconds(1), [keeper_host, session] {
+      const auto caller = keeper_host->adopted_.Find(session);
       if (!caller.has_value()) return;
-      target->adopted_.Erase(*caller);
-      target->answers_.erase(*caller);
-      target->proxy_->CallerGone(target->clock_->now(), *caller);
+      keeper_host->adopted_.Erase(*caller);
+      keeper_host->pending_answers_.erase(*caller);
+      keeper_host->proxy_->CallerGone(keeper_host->clock_->now(), *caller);
     });
   }
   void AnswerForwarded(CallerId caller, const Reply& reply) override {
-    const auto found = answers_.find(caller);
-    if (found == answers_.end()) return;
-    const auto answer = found->second;
-    answers_.erase(found);
-    answer(reply);
+    const auto found = pending_answers_.find(caller);
+    if (found == pending_answers_.end()) return;
+    const auto on_reply = found->second;
+    pending_answers_.erase(found);
+    on_reply(reply);
     if (reply.state == TransactionState::kOpen) return;
     adopted_.Erase(caller);
-    clock_->After(milliseconds(0), [this, caller, life = life_] {
-      if (life == life_) proxy_->CallerGone(clock_->now(), caller);
+    clock_->After(milliseconds(0), [this, caller, boot = boot_] {
+      if (boot == boot_) proxy_->CallerGone(clock_->now(), caller);
     });
   }
 
-  /// A statement that another instance has forwarded arrives.
+  /// Accepts a statement that another instance has forwarded.
   void Adopt(const core::session::ForwardedStatement& statement,
-             std::function<void(Reply)> answer) {
+             std::function<void(Reply)> on_reply) {
     const auto entry =
         adopted_.Enter(statement.session, statement.in_transaction);
     if (entry.abandoned != 0) {
-      answers_.erase(entry.abandoned);
+      pending_answers_.erase(entry.abandoned);
       proxy_->CallerGone(clock_->now(), entry.abandoned);
     }
-    answers_[entry.caller] = std::move(answer);
+    pending_answers_[entry.caller] = std::move(on_reply);
     proxy_->AdoptStatement(clock_->now(), entry.caller, statement);
   }
 
  private:
-  void StartAgain() {
+  void RestartProcess() {
     sessions_.clear();
     accepted_.clear();
     adopted_ = core::session::AdoptedSessions();
-    answers_.clear();
-    waiting_.clear();
-    ++life_;
+    pending_answers_.clear();
+    pending_streams_.clear();
+    ++boot_;
     Start();
   }
 
   void Start() {
     core::session::ProxySettings settings;
     settings.failure_domain = failure_domain_;
-    settings.session_prefix = name_ + "/" + std::to_string(life_) + "/";
+    settings.session_prefix = name_ + "/" + std::to_string(boot_) + "/";
     proxy_ = std::make_unique<Proxy>(settings, this, nullptr, nullptr);
     proxy_->SetForwarder(this);
-    if (clock_->now() >= told_at_) ReadStore();
+    if (clock_->now() >= store_readable_at_) LoadFromStore();
   }
 
-  void ReadStore() {
+  void LoadFromStore() {
     proxy_->OnRoutes(clock_->now(), fleet_->routes.value_or(
                                         TestRoutes(fleet_->connection_limit)));
     proxy_->OnRoster(clock_->now(), TestRoster(*cluster_));
     proxy_->SetInstances(clock_->now(), name_, fleet_->candidates);
   }
 
-  void LookForSilence(core::session::ForwardId call, uint64_t stream,
-                      const std::string& keeper) {
-    clock_->After(kStreamSilence, [this, call, stream, keeper] {
-      const auto found = waiting_.find(call);
-      if (found == waiting_.end() || found->second != stream) return;
+  void CheckStreamAlive(core::session::ForwardId call, uint64_t stream,
+                        const std::string& keeper) {
+    clock_->After(kStreamTimeout, [this, call, stream, keeper] {
+      const auto found = pending_streams_.find(call);
+      if (found == pending_streams_.end() || found->second != stream) return;
       if (fleet_->Reaches(name_, keeper)) {
-        LookForSilence(call, stream, keeper);
+        CheckStreamAlive(call, stream, keeper);
       } else {
-        Answered(call, stream, core::session::ForwardOutcome::kLost, Reply());
+        CompleteForward(call, stream, core::session::ForwardOutcome::kLost,
+                        Reply());
       }
     });
   }
 
-  void Answered(core::session::ForwardId call, uint64_t stream,
-                core::session::ForwardOutcome outcome, Reply reply) {
-    const auto found = waiting_.find(call);
-    if (found == waiting_.end() || found->second != stream) return;
-    waiting_.erase(found);
+  void CompleteForward(core::session::ForwardId call, uint64_t stream,
+                       core::session::ForwardOutcome outcome, Reply reply) {
+    const auto found = pending_streams_.find(call);
+    if (found == pending_streams_.end() || found->second != stream) return;
+    pending_streams_.erase(found);
     proxy_->ForwardAnswered(clock_->now(), call, outcome, std::move(reply));
   }
 
@@ -387,21 +394,22 @@
   const std::string name_;
   const std::string failure_domain_;
   FakeFleet* fleet_;
-  uint64_t life_ = 0;
-  /// When the store is first read.
-  TimePoint told_at_;
+  /// Incremented at each restart.
+  uint64_t boot_ = 0;
+  /// Time at which the store becomes readable.
+  TimePoint store_readable_at_;
   core::session::AdoptedSessions adopted_;
-  std::map<CallerId, std::function<void(Reply)>> answers_;
-  std::map<core::session::ForwardId, uint64_t> waiting_;
+  std::map<CallerId, std::function<void(Reply)>> pending_answers_;
+  std::map<core::session::ForwardId, uint64_t> pending_streams_;
   uint64_t last_stream_ = 0;
   std::unique_ptr<Proxy> proxy_;
   std::map<ConnectionId, uint64_t> sessions_;
   std::set<CallerId> accepted_;
   std::map<ConnectionId, std::string> databases_;
   std::map<ConnectionId, std::string> workspaces_;
-  std::vector<std::pair<std::string, std::string>> sent_for_;
-  std::set<std::string> cut_;
-  uint32_t opened_ = 0;
+  std::vector<std::pair<std::string, std::string>> sent_statements_;
+  std::set<std::string> unreachable_databases_;
+  uint32_t opened_connections_ = 0;
   uint32_t status_calls_ = 0;
 };
 
--- a/testsuite/support/session/virtual_clock.h
+++ b/testsuite/support/session/virtual_clock.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The time of tests, which passes as they say.
+// A clock that tests advance explicitly.
 
 #include <algorithm>
 #include <chrono>
@@ -15,15 +15,15 @@
 using core::TimePoint;
 using std::chrono::milliseconds;
 
-/// Runs work in order of its time.
+/// Runs scheduled callbacks in order of their due time.
 class VirtualClock {
  public:
   TimePoint now() const { return now_; }
-  void At(TimePoint when, std::function<void()> work) {
-    due_.emplace(std::max(when, now_), std::move(work));
+  void At(TimePoint due, std::function<void()> callback) {
+    due_.emplace(std::max(due, now_), std::move(callback));
   }
-  void After(milliseconds pause, std::function<void()> work) {
-    At(now_ + pause, std::move(work));
+  void After(milliseconds delay, std::function<void()> callback) {
+    At(now_ + delay, std::move(callback));
   }
   void RunUntil(TimePoint end) {
     while (!due_.empty() && due_.begin()->first <= end) {
@@ -35,7 +35,7 @@
   }
 
  private:
-  // An hour on, so that ages can be subtracted without leaving the clock.
+  // Starts at one hour so that subtracting an age does not underflow.
   TimePoint now_ = TimePoint(std::chrono::hours(1));
   std::multimap<TimePoint, std::function<void()>> due_;
 };
