--- a/testsuite/session_connections/connections_test.cc
+++ b/testsuite/session_connections/connections_test.cc
@@ -161,7 +161,7 @@
         << percent << " percent, round " << round;
     Run(milliseconds(random_() % 4000));
   }
-  EXPECT_EQ(cluster_.over_limit(), 0U);
+  EXPECT_EQ(cluster_.refused_at_limit(), 0U);
 }
 
 // Without workspaces, with as many as there are on a large deployment, and with
--- a/testsuite/session_isolation/isolation_test.cc
+++ b/testsuite/session_isolation/isolation_test.cc
@@ -109,7 +109,7 @@
 TEST_F(IsolationTest, RefusesAtOnceWhenCutOffFromAllOthers) {
   AskAround(milliseconds(500), [](CallerId, TimePoint, const Answer&) {});
   for (CallerId caller = 4; caller <= kInstances; caller += 4) {
-    if (!Kept(caller)) fleet_.parted.insert(HostOf(caller).name());
+    if (!Kept(caller)) fleet_.partitioned.insert(HostOf(caller).name());
   }
   const TimePoint cut_at = clock_.now();
   size_t refused = 0;
@@ -117,7 +117,7 @@
   asked_of_.clear();
   AskAround(milliseconds(4000), [&](CallerId caller, TimePoint asked,
                                     const Answer& answer) {
-    if (fleet_.parted.count(HostOf(caller).name()) == 0) {
+    if (fleet_.partitioned.count(HostOf(caller).name()) == 0) {
       EXPECT_EQ(answer.error, ErrorCode::kNone) << "not cut off: " << caller;
       return;
     }
@@ -130,15 +130,15 @@
   Run(kFindOut);
   EXPECT_GT(refused, 50U);
   // Those that were under way as their instance found out.
-  EXPECT_LE(waited, 2 * fleet_.parted.size());
+  EXPECT_LE(waited, 2 * fleet_.partitioned.size());
   for (CallerId caller = 1; caller <= kInstances; ++caller) {
     // One that nobody asked anything of has nothing to notice.
-    const bool parted = fleet_.parted.count(HostOf(caller).name()) > 0;
+    const bool parted = fleet_.partitioned.count(HostOf(caller).name()) > 0;
     EXPECT_EQ(HostOf(caller).proxy()->ready(),
               !parted || asked_of_.count(caller) == 0)
         << caller;
   }
-  fleet_.parted.clear();
+  fleet_.partitioned.clear();
   Run(milliseconds(400));
   for (const auto& host : hosts_) EXPECT_TRUE(host->proxy()->ready());
   const TimePoint healed_at = clock_.now();
@@ -156,7 +156,7 @@
 TEST_F(IsolationTest, ServesOnWhenHalfOfTheFleetIsGone) {
   AskAround(milliseconds(500), [](CallerId, TimePoint, const Answer&) {});
   for (CallerId caller = 2; caller <= kInstances; caller += 2) {
-    fleet_.parted.insert(HostOf(caller).name());
+    fleet_.partitioned.insert(HostOf(caller).name());
   }
   const TimePoint gone_at = clock_.now();
   size_t in_time = 0;
@@ -183,7 +183,7 @@
 TEST_F(IsolationTest, RunsStatementsAloneWithoutAKeeperInReach) {
   AskAround(milliseconds(500), [](CallerId, TimePoint, const Answer&) {});
   for (CallerId caller = 1; caller <= kInstances; ++caller) {
-    if (Kept(caller)) fleet_.parted.insert(HostOf(caller).name());
+    if (Kept(caller)) fleet_.partitioned.insert(HostOf(caller).name());
   }
   const TimePoint cut_at = clock_.now();
   size_t served = 0;
@@ -200,7 +200,7 @@
     EXPECT_LE(cluster_.connections(id), kConnectionLimit * 3 / 4) << id;
   }
   // Once a keeper is in reach again the connections go.
-  fleet_.parted.clear();
+  fleet_.partitioned.clear();
   Run(milliseconds(2500));
   for (const char* id : {"db-a", "db-b", "db-c"}) {
     EXPECT_LE(cluster_.connections(id), 16U) << id;
@@ -217,10 +217,10 @@
   for (CallerId other = 1; other <= kInstances; ++other) {
     // Whichever keeper has it.
     if (Kept(other) && HostOf(other).proxy()->callers() > 1) {
-      fleet_.parted.insert(HostOf(other).name());
+      fleet_.partitioned.insert(HostOf(other).name());
     }
   }
-  ASSERT_EQ(fleet_.parted.size(), 1U);
+  ASSERT_EQ(fleet_.partitioned.size(), 1U);
   Run(milliseconds(600));
   ASSERT_EQ(answers_.count(caller), 1U);
   EXPECT_EQ(answers_[caller].error, ErrorCode::kNone);
--- a/testsuite/session_proxy/proxy_test.cc
+++ b/testsuite/session_proxy/proxy_test.cc
@@ -37,7 +37,7 @@
   cluster_.database("db-c").detached = true;
   EXPECT_EQ(Write(0, 1), ErrorCode::kNone);
   cluster_.database("db-b").detached = true;
-  cluster_.StartAnew("db-b");
+  cluster_.RestartEmpty("db-b");
   hosts_[0]->BreakConnections();
   hosts_[0]->proxy()->OnRoster(clock_.now(), TestRoster(cluster_));
   const auto view = hosts_[0]->proxy()->groups(clock_.now()).front();
@@ -60,7 +60,7 @@
   StartSession(0, 1, "primary");
   StartSession(0, 2, "session");
   EXPECT_EQ(Write(0, 1), ErrorCode::kNone);
-  cluster_.StartAnew("db-a");
+  cluster_.RestartEmpty("db-a");
   hosts_[0]->BreakConnections();
   hosts_[0]->proxy()->OnRoster(clock_.now(), TestRoster(cluster_));
   EXPECT_EQ(hosts_[0]->proxy()->groups(clock_.now()).front().primary, "");
--- a/testsuite/standins/lib/line_databases.cc
+++ b/testsuite/standins/lib/line_databases.cc
@@ -192,7 +192,7 @@
     const testsuite::FakeDatabase& database = cluster_.database(id);
     const char* role = database.primary ? "primary" : "replica";
     const auto born = std::chrono::duration_cast<std::chrono::milliseconds>(
-        database.born.time_since_epoch());
+        database.started_at.time_since_epoch());
     store_->Put(
         "servers/" + id,
         "{\"service\":\"" + group_ +
@@ -227,7 +227,7 @@
   for (const std::unique_ptr<Link>& link : links_) {
     if (link->database() == id) link->Close();
   }
-  cluster_.StartAnew(id);
+  cluster_.RestartEmpty(id);
   Register();
 }
 
--- a/testsuite/support/session/fake_cluster.h
+++ b/testsuite/support/session/fake_cluster.h
@@ -119,7 +119,7 @@
     sessions_.at(number).counted_until = clock_->now() + kDeadPeerTimeout;
   }
   /// Number of connections refused at the connection limit.
-  uint64_t over_limit() const { return refused_at_limit_; }
+  uint64_t refused_at_limit() const { return refused_at_limit_; }
 
   /// Keeps the connection open but drops all data on it from now on.
   void Stall(uint64_t number) { sessions_.at(number).stalled = true; }
@@ -136,14 +136,14 @@
   }
   void Restart(const std::string& id) { databases_.at(id).up = true; }
   /// Restarts the database under the same id with empty state.
-  void StartAnew(const std::string& id) {
+  void RestartEmpty(const std::string& id) {
     Crash(id);
     FakeDatabase& database = databases_.at(id);
     database.log.clear();
     database.received_at.clear();
     database.primary = false;
     database.term = 1;
-    database.born = clock_->now();
+    database.started_at = clock_->now();
     database.up = true;
   }
 
--- a/testsuite/support/session/fake_database.h
+++ b/testsuite/support/session/fake_database.h
@@ -51,7 +51,7 @@
   /// Time since which a replaced primary can reach its successor; epoch while
   /// it cannot.
   TimePoint reaches_successor_since;
-  TimePoint born;
+  TimePoint started_at;
   /// Ids of databases on the other side of a network partition.
   std::set<std::string> partitioned_from;
   bool up = true;
--- a/testsuite/support/session/instance_host.h
+++ b/testsuite/support/session/instance_host.h
@@ -60,7 +60,7 @@
     database.failure_domain = std::string(id).substr(3);
     database.born = std::chrono::sys_time<milliseconds>(
         std::chrono::duration_cast<milliseconds>(
-            cluster.database(id).born.time_since_epoch()));
+            cluster.database(id).started_at.time_since_epoch()));
     database.claims_primary = cluster.database(id).primary;
     roster[id] = database;
   }
@@ -99,10 +99,10 @@
   /// Routes in the store; `TestRoutes` if not set.
   std::optional<RouteTable> routes;
   /// Instances that are partitioned from all other instances.
-  std::set<std::string> parted;
+  std::set<std::string> partitioned;
 
   bool Reaches(const std::string& one, const std::string& other) const {
-    return parted.count(one) == 0 && parted.count(other) == 0;
+    return partitioned.count(one) == 0 && partitioned.count(other) == 0;
   }
 };
 
