--- a/src/include/ryefold/core/failover/coordinator.h
+++ b/src/include/ryefold/core/failover/coordinator.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Decides when a database group needs another primary, and which.
+// Failover of database groups: detects that a group needs a new primary and
+// chooses the replica to promote.
 
 #include <chrono>
 #include <cstdint>
@@ -15,78 +16,82 @@
 
 namespace ryefold::core::failover {
 
-/// What became of an order to promote.
+/// Result of a promotion order.
 enum class PromotionOutcome : uint8_t {
-  kAccepted,    ///< The database will lead within about a second.
-  kFenced,      ///< A higher token has been seen: another holds the duty.
-  kNotRunning,  ///< The database named is not there.
-  kNotDone,     ///< Turned away, or never reached: nothing will happen.
-  kUnknown,     ///< No answer: it may still be executed, seconds later.
+  kAccepted,    ///< The database becomes primary within about 1 s.
+  kFenced,      ///< Rejected: a higher fencing token has been used.
+  kNotRunning,  ///< The database is not running.
+  kNotDone,     ///< Rejected or not delivered; has no effect.
+  kUnknown,     ///< No answer; the order may still be executed.
 };
 
-/// Who can make a database the primary. The order carries the token, so that
-/// a late one of an earlier holder is refused.
+/// Interface to the platform's promotion call. Each order carries the fencing
+/// token of the duty, so that delayed orders of an earlier holder are rejected.
 class PromotionAuthority {
  public:
   virtual ~PromotionAuthority() = default;
-  /// Leads to `Coordinator::PromotionAnswered`, never before it returns.
+  /// Orders `database` to become primary. The result is reported through
+  /// `Coordinator::PromotionAnswered`, never before this call returns.
   virtual void Promote(const std::string& group, const std::string& database,
                        uint64_t token) = 0;
 };
 
-/// What the coordinator wants done besides promotions.
+/// Requests of the coordinator to its owner, other than promotions.
 class CoordinatorPort {
  public:
   virtual ~CoordinatorPort() = default;
-  /// Ask all databases of the group for their status.
+  /// Requests the status of all databases of the group.
   virtual void Probe(const std::string& group) = 0;
-  /// `database` was ordered to lead: tell the other instances.
+  /// Notifies the other instances that `database` becomes the primary.
   virtual void Announce(const std::string& group,
                         const std::string& database) = 0;
-  /// The present token must not be used any more; get another.
+  /// Discards the current fencing token and requests a higher one.
   virtual void ReplaceToken(const std::string& reason) = 0;
 };
 
 struct CoordinatorTiming {
-  /// Pace of asking the databases of a healthy group. Bounds how late the
-  /// silence of an idle primary is noticed.
-  std::chrono::milliseconds probe{1000};
-  /// The same while a primary is doubted.
-  std::chrono::milliseconds probe_doubted{150};
-  /// Silence on every connection after which a primary is taken for lost. It
-  /// is probed with calls that need no slot meanwhile, so that a busy one is
-  /// heard of several times in this span.
-  std::chrono::milliseconds silent{750};
-  /// Refused connections in a row that mean the same: nothing listens there.
-  uint32_t refusals = 3;
-  /// How long a group may be without anybody who leads before one is named.
-  std::chrono::milliseconds leaderless{1200};
-  /// How long the primary may hold entries that no replica receives before it
-  /// is taken to be cut off from all of them. Commits are not acknowledged
-  /// meanwhile, so a promotion discards none that was.
-  std::chrono::milliseconds unreceived{1500};
-  /// Age up to which a replica's status counts in the choice.
-  std::chrono::milliseconds status_age{700};
-  /// The same for the comparison of what replicas receive, which is made with
-  /// the usual pace of probes.
-  std::chrono::milliseconds status_known{1500};
-  /// How long a choice waits for the status of replicas that answer otherwise:
-  /// a busy one is asked in its turn, and may have received the most.
-  std::chrono::milliseconds choice{500};
-  /// How long an ordered promotion is waited for before the group is judged
-  /// again; promoting takes about a second.
-  std::chrono::milliseconds settle{2500};
-  /// Pause after an order that was turned away.
-  std::chrono::milliseconds retry{400};
+  /// Interval between status probes of a healthy group. Bounds how late the
+  /// failure of an idle primary is detected.
+  std::chrono::milliseconds probe_interval{1000};
+  /// Probe interval while the primary is suspected.
+  std::chrono::milliseconds suspected_probe_interval{150};
+  /// Time without an answer on any connection after which the primary counts
+  /// as failed. Probes need no slot, so a busy primary answers several times
+  /// within this time.
+  std::chrono::milliseconds primary_timeout{750};
+  /// Consecutive refused connections after which the primary counts as failed:
+  /// no process listens on its address.
+  uint32_t refusal_limit = 3;
+  /// Time without a primary after which a replica is promoted.
+  std::chrono::milliseconds no_primary_timeout{1200};
+  /// Time after which a primary whose newer log entries reach no replica counts
+  /// as partitioned from all of them. Commits are not acknowledged during this
+  /// time, so the promotion discards no acknowledged commit.
+  std::chrono::milliseconds replication_stall_timeout{1500};
+  /// Maximum age of a replica's last contact and status at promotion.
+  std::chrono::milliseconds max_status_age{700};
+  /// Maximum status age for the detection of a replication stall, which relies
+  /// on probes at the normal interval.
+  std::chrono::milliseconds max_stall_status_age{1500};
+  /// Maximum wait for the status of replicas that answer other calls. A busy
+  /// replica answers status calls late and may have received the most.
+  std::chrono::milliseconds status_wait{500};
+  /// Time allowed for a promotion, which takes about 1 s, before the group is
+  /// evaluated again.
+  std::chrono::milliseconds promotion_timeout{2500};
+  /// Delay before the next promotion after a rejected order.
+  std::chrono::milliseconds retry_delay{400};
 };
 
-/// State machine for all groups; only acts while this instance holds the duty.
+/// Failover state machine for all groups. Acts only while this instance holds
+/// the duty, which is the right to order promotions.
 class Coordinator {
  public:
   Coordinator(CoordinatorTiming timing, PromotionAuthority* authority,
               CoordinatorPort* port, EventSink* events);
 
-  /// Looks at every group. `token` is empty while the duty is not held.
+  /// Evaluates every group and orders promotions where needed. `token` is the
+  /// fencing token of the duty; nullopt while this instance does not hold it.
   void Observe(TimePoint now, const std::vector<session::GroupView>& groups,
                std::optional<uint64_t> token);
 
@@ -95,31 +100,34 @@
 
  private:
   struct GroupState {
-    TimePoint probe_at;
-    /// Since when nobody leads; epoch when somebody does.
-    TimePoint leaderless_since;
-    /// Since when another primary is needed; epoch when it is not.
+    TimePoint next_probe_at;
+    /// Start of the time without a primary; epoch while there is one.
+    TimePoint no_primary_since;
+    /// When a promotion became necessary; epoch while none is needed.
     TimePoint needed_since;
-    /// Newest position that any replica had received, and since when that is
-    /// so although the primary has newer ones; epoch when it has not.
-    LogPosition received;
-    TimePoint unreceived_since;
-    /// An order was given; the group is let alone until then.
-    TimePoint settle_until;
-    std::string ordered;
+    /// Newest position received by any replica.
+    LogPosition newest_received;
+    /// When `newest_received` stopped advancing behind the primary's log; epoch
+    /// while replication makes progress.
+    TimePoint stalled_since;
+    /// End of the wait for `ordered_database` to become primary; the group is
+    /// not evaluated before.
+    TimePoint promotion_deadline;
+    std::string ordered_database;
   };
-  /// Why the group needs another primary; empty when it does not.
-  std::string Cause(TimePoint now, const session::GroupView& group,
-                    GroupState* state) const;
-  void NoteReceived(TimePoint now, const session::GroupView& group,
-                    GroupState* state) const;
-  bool StatusMissing(TimePoint now, const session::GroupView& group) const;
-  static bool WouldDiscard(const session::GroupView& group,
-                           const session::DatabaseView& candidate);
-  const session::DatabaseView* Candidate(TimePoint now,
-                                         const session::GroupView& group) const;
-  void Probe(TimePoint now, const session::GroupView& group, GroupState* state,
-             bool doubt);
+  /// Returns why the group needs a new primary; empty if it does not.
+  std::string PromotionReason(TimePoint now, const session::GroupView& group,
+                              GroupState* state) const;
+  void UpdateReplicationStall(TimePoint now, const session::GroupView& group,
+                              GroupState* state) const;
+  bool HasStaleReplicaStatus(TimePoint now,
+                             const session::GroupView& group) const;
+  static bool WouldDiscardCommits(const session::GroupView& group,
+                                  const session::DatabaseView& candidate);
+  const session::DatabaseView* ChooseCandidate(
+      TimePoint now, const session::GroupView& group) const;
+  void ProbeIfDue(TimePoint now, const session::GroupView& group,
+                  GroupState* state, bool suspected);
 
   const CoordinatorTiming timing_;
   PromotionAuthority* authority_;
--- a/src/libcore/failover/election.cc
+++ b/src/libcore/failover/election.cc
@@ -18,53 +18,57 @@
   return held ? std::optional<uint64_t>(token_) : std::nullopt;
 }
 
-milliseconds Election::Turn() const {
-  const milliseconds turn = timing_.stagger * static_cast<int64_t>(rank_);
-  return rank_ < timing_.first_few ? turn : turn + timing_.hold_back;
+milliseconds Election::ClaimDelay() const {
+  const milliseconds claim_delay =
+      timing_.claim_stagger * static_cast<int64_t>(rank_);
+  return rank_ < timing_.early_candidates
+             ? claim_delay
+             : claim_delay + timing_.late_claim_delay;
 }
 
-void Election::WaitFor(TimePoint now, milliseconds pause) {
+void Election::WaitFor(TimePoint now, milliseconds delay) {
   state_ = State::kWaiting;
-  due_ = now + pause;
+  deadline_ = now + delay;
 }
 
 void Election::HolderSeen(TimePoint now,
                           const std::optional<HolderRecord>& holder,
                           uint64_t revision) {
   if (state_ == State::kRetired) return;
-  const bool first = !std::exchange(store_seen_, true);
+  const bool first = !std::exchange(store_read_, true);
   vacant_ = !holder.has_value();
   const bool ours = holder.has_value() && holder->instance == instance_ &&
                     holder->lease == lease_ && lease_ != 0;
   if (ours) {
-    // The answer to the claim may have been lost; the key itself says more.
-    if (state_ == State::kClaiming) Hold(now, holder->token);
+    // The answer to the claim may have been lost; the key shows its outcome.
+    if (state_ == State::kClaiming) BecomeHolder(now, holder->token);
     return;
   }
   if (state_ == State::kHolding && revision > token_) {
-    StepDown(now, vacant_ ? "key gone" : "another holds the key");
+    StepDown(now, vacant_ ? "holder key deleted"
+                          : "holder key owned by another instance");
     return;
   }
   if (state_ != State::kWaiting) return;
   if (vacant_) {
     if (first) {
-      settling_ = true;
-      WaitFor(now, timing_.settle);
-    } else if (!settling_ && due_ == TimePoint::max()) {
-      // Not again while the turn is awaited: news that comes faster than turns
-      // would put each off for good.
-      WaitFor(now, Turn());
+      in_startup_delay_ = true;
+      WaitFor(now, timing_.startup_delay);
+    } else if (!in_startup_delay_ && deadline_ == TimePoint::max()) {
+      // A running delay is not restarted: changes that arrive faster than the
+      // delay ends would postpone the claim forever.
+      WaitFor(now, ClaimDelay());
     }
   } else {
-    due_ = TimePoint::max();
+    deadline_ = TimePoint::max();
   }
 }
 
 void Election::Campaign(TimePoint now) {
   state_ = State::kGranting;
-  sent_at_ = now;
-  due_ = TimePoint::max();
-  port_->GrantLease(timing_.ttl);
+  call_sent_at_ = now;
+  deadline_ = TimePoint::max();
+  port_->GrantLease(timing_.lease_ttl);
 }
 
 void Election::LeaseGranted(TimePoint now, StoreOutcome outcome, LeaseId lease,
@@ -74,14 +78,14 @@
     return;
   }
   if (outcome != StoreOutcome::kDone) {
-    WaitFor(now, timing_.retry);
+    WaitFor(now, timing_.retry_delay);
     return;
   }
   lease_ = lease;
-  valid_until_ = sent_at_ + ttl - timing_.reserve;
+  valid_until_ = call_sent_at_ + ttl - timing_.expiry_margin;
   state_ = State::kClaiming;
-  // Should the answer stay out, the key itself may still show the outcome.
-  due_ = valid_until_;
+  // If no answer arrives, the key itself may still show the outcome.
+  deadline_ = valid_until_;
   port_->ClaimDuty(lease);
 }
 
@@ -89,20 +93,20 @@
                            uint64_t token) {
   if (state_ != State::kClaiming) return;
   if (outcome == StoreOutcome::kDone) {
-    Hold(now, token);
+    BecomeHolder(now, token);
   } else if (outcome == StoreOutcome::kRefused) {
     port_->EndLease(std::exchange(lease_, 0));
     vacant_ = false;
     state_ = State::kWaiting;
-    due_ = TimePoint::max();
+    deadline_ = TimePoint::max();
   }
 }
 
-void Election::Hold(TimePoint now, uint64_t token) {
+void Election::BecomeHolder(TimePoint now, uint64_t token) {
   state_ = State::kHolding;
   token_ = token;
   renewing_ = false;
-  due_ = sent_at_ + timing_.renew;
+  deadline_ = call_sent_at_ + timing_.renew_interval;
   Event(events_, EventWeight::kState, "duty_held")
       .Add("token", token)
       .Add("lease", lease_)
@@ -116,10 +120,10 @@
   port_->EndLease(std::exchange(lease_, 0));
   token_ = 0;
   if (vacant_) {
-    WaitFor(now, timing_.retry);
+    WaitFor(now, timing_.retry_delay);
   } else {
     state_ = State::kWaiting;
-    due_ = TimePoint::max();
+    deadline_ = TimePoint::max();
   }
 }
 
@@ -128,15 +132,15 @@
   if (state_ != State::kHolding) return;
   switch (outcome) {
     case StoreOutcome::kDone:
-      valid_until_ = sent_at_ + timing_.ttl - timing_.reserve;
-      due_ = sent_at_ + timing_.renew;
+      valid_until_ = call_sent_at_ + timing_.lease_ttl - timing_.expiry_margin;
+      deadline_ = call_sent_at_ + timing_.renew_interval;
       break;
     case StoreOutcome::kRefused:
       vacant_ = true;
-      StepDown(now, "lease ended");
+      StepDown(now, "lease not found in the store");
       break;
     case StoreOutcome::kUnknown:
-      due_ = now + timing_.retry;
+      deadline_ = now + timing_.retry_delay;
       break;
   }
 }
@@ -150,17 +154,17 @@
 void Election::Retire(TimePoint now) {
   if (state_ == State::kHolding) StepDown(now, "leaving");
   state_ = State::kRetired;
-  due_ = TimePoint::max();
+  deadline_ = TimePoint::max();
 }
 
 void Election::Tick(TimePoint now) {
-  if (now < due_) return;
-  due_ = TimePoint::max();
+  if (now < deadline_) return;
+  deadline_ = TimePoint::max();
   switch (state_) {
     case State::kWaiting:
-      if (!store_seen_ || !vacant_) break;
-      if (std::exchange(settling_, false)) {
-        WaitFor(now, Turn());
+      if (!store_read_ || !vacant_) break;
+      if (std::exchange(in_startup_delay_, false)) {
+        WaitFor(now, ClaimDelay());
       } else {
         Campaign(now);
       }
@@ -168,16 +172,16 @@
     case State::kClaiming:
       port_->EndLease(std::exchange(lease_, 0));
       vacant_ = true;
-      WaitFor(now, timing_.retry);
+      WaitFor(now, timing_.retry_delay);
       break;
     case State::kHolding:
       if (now >= valid_until_) {
         vacant_ = true;
-        StepDown(now, "lease ran out unrenewed");
+        StepDown(now, "lease expired without renewal");
       } else if (!renewing_) {
         renewing_ = true;
-        sent_at_ = now;
-        due_ = valid_until_;
+        call_sent_at_ = now;
+        deadline_ = valid_until_;
         port_->RenewLease(lease_);
       }
       break;
--- a/testsuite/failover_after_promotion/candidate_test.cc
+++ b/testsuite/failover_after_promotion/candidate_test.cc
@@ -1,4 +1,4 @@
-// The choice of a successor shortly after a promotion.
+// The choice of the replica to promote shortly after an earlier promotion.
 
 #include <gtest/gtest.h>
 
@@ -46,10 +46,10 @@
   std::string ordered_;
 };
 
-// A primary with entries that nobody received was replaced, and its successor
-// is lost a second later. The statuses known are from before that promotion.
-// The old primary must not be named by them: what was committed under the new
-// term, and acknowledged, is lost then.
+// A primary with log entries that no replica received was replaced, and the new
+// primary fails a second later. All known statuses predate that promotion.
+// Promoting the old primary because of them would discard commits that were
+// acknowledged under the new term.
 TEST_F(AfterPromotionTest, NamesNobodyByAStatusFromBeforeTheTerm) {
   Coordinator coordinator(CoordinatorTiming(), this, this, nullptr);
   group_.group = "group";
@@ -57,10 +57,10 @@
   group_.term = 2;
   group_.databases.reserve(3);
   Add("a", {1, 118});
-  DatabaseView* lost = Add("b", {1, 109});
-  lost->primary = true;
-  lost->responsive = false;
-  lost->silent_since = At(-3000);
+  DatabaseView* failed = Add("b", {1, 109});
+  failed->primary = true;
+  failed->responsive = false;
+  failed->silent_since = At(-3000);
   Add("c", {1, 109});
   for (int64_t now = 0; now <= 400; now += 100) {
     coordinator.Observe(At(now), {group_}, 7);
--- a/testsuite/failover_coordinator/coordinator_test.cc
+++ b/testsuite/failover_coordinator/coordinator_test.cc
@@ -47,13 +47,16 @@
                 const std::string& database) override {
     announced_ = database;
   }
-  void ReplaceToken(const std::string& /*reason*/) override { ++replaced_; }
+  void ReplaceToken(const std::string& /*reason*/) override {
+    ++tokens_replaced_;
+  }
 
-  /// Lets replicas answer and looks at the group every 100 ms.
-  void Play(int64_t from, int64_t to, std::optional<uint64_t> token = 7) {
+  /// Evaluates the group every 100 ms; the databases answer except those that
+  /// are unreachable or busy.
+  void Run(int64_t from, int64_t to, std::optional<uint64_t> token = 7) {
     for (int64_t now = from; now <= to; now += 100) {
       for (DatabaseView& database : group_.databases) {
-        if (silent_.count(database.id) > 0) continue;
+        if (unreachable_.count(database.id) > 0) continue;
         database.last_heard = At(now);
         if (busy_.count(database.id) > 0) continue;
         database.status_asked = At(now);
@@ -65,207 +68,209 @@
 
   Coordinator coordinator_;
   GroupView group_;
-  std::set<std::string> silent_;
-  /// Answer, but not yet to a status call.
+  std::set<std::string> unreachable_;
+  /// Databases that answer, but not to status calls.
   std::set<std::string> busy_;
   std::vector<Order> orders_;
   std::string announced_;
   int probes_ = 0;
-  int replaced_ = 0;
+  int tokens_replaced_ = 0;
 };
 
-// The primary lives and is cut off from its replicas. The one that has received
-// all acknowledged commits is silent for a moment, the other is far behind: it
-// led before and has just learnt of its successor. Promoting that one would
-// discard commits that callers were told are saved, while the primary has them.
-TEST_F(CoordinatorTest, WaitsForASilentReplicaWhileThePrimaryLives) {
+// The primary is alive but partitioned from its replicas. The replica with all
+// acknowledged commits is unreachable for a short time; the other, a former
+// primary, is far behind. Promoting the latter would discard acknowledged
+// commits that the primary still has.
+TEST_F(CoordinatorTest, WaitsForAnUnreachableReplicaWhileThePrimaryIsAlive) {
   View(0).status.received = {1, 180};
   View(1).status.received = {1, 100};
   View(2).status.received = {1, 170};
-  Play(0, 1000);
-  silent_.insert("c");
+  Run(0, 1000);
+  unreachable_.insert("c");
   View(2).responsive = false;
-  Play(1100, 6000);
+  Run(1100, 6000);
   EXPECT_TRUE(orders_.empty());
-  silent_.clear();
+  unreachable_.clear();
   View(2).responsive = true;
-  Play(6100, 9000);
+  Run(6100, 9000);
   ASSERT_FALSE(orders_.empty());
   EXPECT_EQ(orders_.front().database, "c");
 }
 
-TEST_F(CoordinatorTest, LeavesAHealthyGroupAlone) {
-  Play(0, 20000);
+TEST_F(CoordinatorTest, DoesNotPromoteInAHealthyGroup) {
+  Run(0, 20000);
   EXPECT_TRUE(orders_.empty());
   EXPECT_LE(probes_, 21);
 }
 
-// The primary falls silent on every connection. Writes fail until another
-// leads, so one is named after three quarters of a second, and only once.
-TEST_F(CoordinatorTest, NamesAnotherWhenThePrimaryIsSilent) {
-  silent_.insert("a");
+// The primary stops answering on all connections. Writes fail until another
+// database is primary, so one is promoted after 750 ms, and only once.
+TEST_F(CoordinatorTest, PromotesAReplicaWhenThePrimaryIsUnreachable) {
+  unreachable_.insert("a");
   View(0).silent_since = At(0);
   View(0).responsive = false;
-  Play(0, 700);
+  Run(0, 700);
   EXPECT_TRUE(orders_.empty());
-  Play(800, 2500);
+  Run(800, 2500);
   ASSERT_EQ(orders_.size(), 1U);
   EXPECT_NE(orders_[0].database, "a");
   EXPECT_EQ(orders_[0].token, 7U);
 }
 
-// A busy primary answers late, but it answers: each answer shows that it
-// lives. Replacing it would cost a second of writes for nothing.
-TEST_F(CoordinatorTest, DoesNotTakeSlownessForLoss) {
+// A busy primary answers late, but each answer shows that it is alive. An
+// unnecessary promotion would interrupt writes for about a second.
+TEST_F(CoordinatorTest, DoesNotReplaceASlowPrimary) {
   for (int64_t now = 0; now < 10000; now += 600) {
     View(0).silent_since = At(now);
     View(0).responsive = false;
-    Play(now, now + 500);
+    Run(now, now + 500);
   }
   EXPECT_TRUE(orders_.empty());
 }
 
-// What the new primary has not received is lost for good. The replica that has
-// received most is taken, although the other is listed first.
+// Entries that the new primary has not received are lost, so the replica that
+// has received the most is promoted although the other is listed first.
 TEST_F(CoordinatorTest, TakesTheMostAdvancedReplica) {
   View(1).status.received = {1, 40};
   View(2).status.received = {1, 90};
   View(0).refusals = 5;
-  Play(0, 300);
+  Run(0, 300);
   ASSERT_EQ(orders_.size(), 1U);
   EXPECT_EQ(orders_[0].database, "c");
 }
 
-// The primary is cut off from its replicas and goes on answering. Commits are
-// not acknowledged, so writes fail for as long as the cut lasts unless another
-// leads.
-TEST_F(CoordinatorTest, NamesAnotherWhenReplicasReceiveNothing) {
-  Play(0, 1000);
+// The primary is partitioned from its replicas but still answers. Commits are
+// not acknowledged, so writes fail until the partition ends or another database
+// is promoted.
+TEST_F(CoordinatorTest, PromotesAReplicaWhenReplicationStalls) {
+  Run(0, 1000);
   View(0).status.received = {1, 130};
-  Play(1100, 2400);
+  Run(1100, 2400);
   EXPECT_TRUE(orders_.empty());
-  Play(2500, 3000);
+  Run(2500, 3000);
   ASSERT_EQ(orders_.size(), 1U);
   EXPECT_NE(orders_[0].database, "a");
 }
 
-// One replica receives; the group can confirm commits with it.
-TEST_F(CoordinatorTest, LeavesAGroupAloneWhileOneReplicaReceives) {
+// One replica still receives entries, which is enough to confirm commits.
+TEST_F(CoordinatorTest, DoesNotPromoteWhileOneReplicaReceives) {
   for (uint64_t i = 0; i < 100; ++i) {
     View(0).status.received = {1, 105 + 2 * i};
     View(1).status.received = {1, 104 + 2 * i};
-    Play(static_cast<int64_t>(i) * 100, static_cast<int64_t>(i) * 100);
+    Run(static_cast<int64_t>(i) * 100, static_cast<int64_t>(i) * 100);
   }
   EXPECT_TRUE(orders_.empty());
 }
 
-// The status of one replica is old: it may receive what the others do not.
-TEST_F(CoordinatorTest, LeavesAGroupAloneWhileAReplicaIsUnknown) {
-  Play(0, 1000);
+// The status of one replica is stale: it may receive entries that the others do
+// not.
+TEST_F(CoordinatorTest, DoesNotPromoteWhileAReplicaStatusIsStale) {
+  Run(0, 1000);
   busy_.insert("b");
   View(0).status.received = {1, 130};
-  Play(2600, 10000);
+  Run(2600, 10000);
   EXPECT_TRUE(orders_.empty());
 }
 
-// The replica that has received most is busy, and its status comes late. If the
-// other were taken at once, whatever only the busy one has would be lost.
+// The replica that has received the most is busy and its status arrives late.
+// Promoting the other at once would discard entries that only the busy one has.
 TEST_F(CoordinatorTest, WaitsForTheStatusOfABusyReplica) {
   View(1).status.received = {1, 40};
   View(2).status.received = {1, 10};
   busy_.insert("c");
   View(0).refusals = 5;
-  Play(0, 300);
+  Run(0, 300);
   EXPECT_TRUE(orders_.empty());
   busy_.clear();
   View(2).status.received = {1, 90};
-  Play(400, 600);
+  Run(400, 600);
   ASSERT_EQ(orders_.size(), 1U);
   EXPECT_EQ(orders_[0].database, "c");
 }
 
 // The replica that has received everything serves all reads and is too busy to
-// tell its status. Its older status, and what its answers show, must not count
-// for less than the fresh status of one that has received nothing for a while.
+// answer status calls. Its older status and the position in its other answers
+// must count as much as the recent status of a replica that is behind.
 TEST_F(CoordinatorTest, TakesABusyReplicaThatIsKnownToBeAhead) {
   View(1).status.received = {1, 98};
   View(2).status.received = {1, 114};
   busy_.insert("c");
   View(0).refusals = 5;
-  Play(0, 900);
+  Run(0, 900);
   ASSERT_EQ(orders_.size(), 1U);
   EXPECT_EQ(orders_[0].database, "c");
 }
 
-// A replica that never tells must not keep a group without a primary.
+// A replica that never answers status calls must not block the promotion.
 TEST_F(CoordinatorTest, WaitsForABusyReplicaOnlyForAWhile) {
   busy_.insert("c");
   View(0).refusals = 5;
   View(2).status.received = {1, 10};
-  Play(0, 900);
+  Run(0, 900);
   ASSERT_EQ(orders_.size(), 1U);
   EXPECT_EQ(orders_[0].database, "b");
 }
 
-// This instance is cut off from everything. It must not name a primary by what
-// it knew before: that replica may have missed a lot since.
-TEST_F(CoordinatorTest, NamesNobodyWhenNoReplicaAnswers) {
-  silent_ = {"a", "b", "c"};
+// This instance is partitioned from all databases. It must not promote a
+// replica by its last known status: the replica may have fallen behind since.
+TEST_F(CoordinatorTest, DoesNotPromoteWhenNoReplicaAnswers) {
+  unreachable_ = {"a", "b", "c"};
   for (DatabaseView& database : group_.databases) {
     database.silent_since = At(0);
     database.responsive = false;
   }
-  Play(0, 5000);
+  Run(0, 5000);
   EXPECT_TRUE(orders_.empty());
 }
 
-TEST_F(CoordinatorTest, NamesNobodyWithoutTheDuty) {
+TEST_F(CoordinatorTest, DoesNotPromoteWithoutTheDuty) {
   View(0).refusals = 5;
-  Play(0, 5000, std::nullopt);
+  Run(0, 5000, std::nullopt);
   EXPECT_TRUE(orders_.empty());
 }
 
-// The primary announces that it leaves, for instance for a new version. Its
-// successor is named at once, while it still serves.
+// The primary drains, for example for an upgrade. A replica that does not drain
+// is promoted at once, while the primary still serves.
 TEST_F(CoordinatorTest, ReplacesALeavingPrimaryByOneThatStays) {
   View(0).draining = true;
   View(1).draining = true;
-  Play(0, 300);
+  Run(0, 300);
   ASSERT_EQ(orders_.size(), 1U);
   EXPECT_EQ(orders_[0].database, "c");
 }
 
-// An order got no answer and may be carried out seconds later. Repeating it
-// under the same token could turn the group round a second time.
+// An unanswered order may be executed seconds later. Repeating it under the
+// same token could change the primary a second time.
 TEST_F(CoordinatorTest, GetsANewTokenAfterAnOrderWithoutAnswer) {
   View(0).refusals = 5;
-  Play(0, 200);
+  Run(0, 200);
   ASSERT_EQ(orders_.size(), 1U);
   coordinator_.PromotionAnswered(At(1200), "group", 7,
                                  PromotionOutcome::kUnknown);
-  EXPECT_EQ(replaced_, 1);
-  // The duty comes back under a higher token, and the order is given again.
-  Play(1300, 1300, std::nullopt);
-  Play(1400, 1800, 9);
+  EXPECT_EQ(tokens_replaced_, 1);
+  // The duty is acquired again with a higher token, and the order is repeated.
+  Run(1300, 1300, std::nullopt);
+  Run(1400, 1800, 9);
   ASSERT_EQ(orders_.size(), 2U);
   EXPECT_EQ(orders_[1].token, 9U);
 }
 
-TEST_F(CoordinatorTest, TellsTheOthersOfAnAcceptedOrder) {
+TEST_F(CoordinatorTest, AnnouncesAnAcceptedOrder) {
   View(0).refusals = 5;
-  Play(0, 200);
+  Run(0, 200);
   coordinator_.PromotionAnswered(At(250), "group", 7,
                                  PromotionOutcome::kAccepted);
   EXPECT_EQ(announced_, orders_[0].database);
 }
 
-// The one that was named ends before it leads. Another has to be named soon.
-TEST_F(CoordinatorTest, NamesAnotherWhenTheFirstIsNotRunning) {
+// The chosen database stops before it becomes primary. Another one has to be
+// promoted soon.
+TEST_F(CoordinatorTest, PromotesAnotherWhenTheFirstIsNotRunning) {
   View(0).refusals = 5;
-  Play(0, 200);
+  Run(0, 200);
   coordinator_.PromotionAnswered(At(250), "group", 7,
                                  PromotionOutcome::kNotRunning);
-  Play(300, 1000);
+  Run(300, 1000);
   EXPECT_GE(orders_.size(), 2U);
 }
 
--- a/testsuite/failover_election/election_test.cc
+++ b/testsuite/failover_election/election_test.cc
@@ -19,7 +19,7 @@
 using std::chrono::milliseconds;
 using testsuite::VirtualClock;
 
-/// A store with one key of interest, leases, and delays and losses to order.
+/// A store with the holder key, leases, and configurable delays and losses.
 class FakeStore {
  public:
   explicit FakeStore(VirtualClock* clock, uint64_t seed)
@@ -31,7 +31,7 @@
 
   milliseconds delay{4};
   bool down = false;
-  /// One answer in this many is lost; 0: none.
+  /// One in this many answers is lost; 0 for none.
   uint32_t lose_one_in = 0;
 
   LeaseId Grant(milliseconds ttl) {
@@ -84,7 +84,7 @@
   std::map<LeaseId, Lease> leases_;
 };
 
-/// One candidate, its calls on the store, and its view of the holder's key.
+/// One candidate with its store calls and its watch on the holder key.
 class Candidate : public ElectionPort {
  public:
   Candidate(VirtualClock* clock, FakeStore* store, const std::string& name,
@@ -99,15 +99,15 @@
 
   Election& election() { return election_; }
   std::optional<uint64_t> token() { return election_.token(clock_->now()); }
-  /// Stands still: sees and does nothing, as when the machine is suspended.
+  /// Suspends the candidate, as when its machine is suspended.
   void Freeze(milliseconds span) { frozen_until_ = clock_->now() + span; }
   bool frozen() const { return clock_->now() < frozen_until_; }
 
   void GrantLease(milliseconds ttl) override {
     Call([this, ttl] { return store_->Grant(ttl); },
          [this, ttl](std::optional<uint64_t> lease) {
-           election_.LeaseGranted(clock_->now(), Told(lease), lease.value_or(0),
-                                  ttl);
+           election_.LeaseGranted(clock_->now(), OutcomeOf(lease),
+                                  lease.value_or(0), ttl);
          });
   }
   void RenewLease(LeaseId lease) override {
@@ -141,11 +141,11 @@
   }
 
  private:
-  static StoreOutcome Told(const std::optional<uint64_t>& answer) {
+  static StoreOutcome OutcomeOf(const std::optional<uint64_t>& answer) {
     return answer.has_value() ? StoreOutcome::kDone : StoreOutcome::kUnknown;
   }
 
-  /// Runs when the candidate is awake again.
+  /// Runs `work` once the candidate is not suspended.
   void Deliver(const std::function<void()>& work) {
     if (!frozen()) {
       work();
@@ -213,8 +213,8 @@
     }
   }
 
-  /// Plays on, checking all the while that one holds the duty at most and that
-  /// tokens only rise.
+  /// Advances the time and checks at each step that at most one candidate holds
+  /// the duty and that tokens never decrease.
   void Run(milliseconds span) {
     const TimePoint end = clock_.now() + span;
     while (clock_.now() < end) {
@@ -224,10 +224,10 @@
         const auto token = candidate->token();
         if (!token.has_value()) continue;
         ++holding;
-        ASSERT_GE(*token, highest_token_) << "an older token came back";
+        ASSERT_GE(*token, highest_token_) << "the token decreased";
         highest_token_ = *token;
       }
-      ASSERT_LE(holding, 1) << "two hold the duty";
+      ASSERT_LE(holding, 1) << "more than one candidate holds the duty";
     }
   }
   Candidate* Holder() {
@@ -252,50 +252,52 @@
   EXPECT_EQ(Holder(), holder);
 }
 
-// The holder's machine is suspended for longer than its lease. Another takes
-// over meanwhile; the first must know at once, when it wakes, that it holds
-// nothing any more, or two would name primaries in turns.
-TEST_F(ElectionTest, AHolderThatSleptPastItsLeaseKnows) {
+// The holder's machine is suspended past the end of its lease and another
+// candidate takes over. The first must not consider itself the holder when it
+// resumes, or both would order promotions.
+TEST_F(ElectionTest, ASuspendedHolderLosesTheDutyWithItsLease) {
   Make(2, 4);
   Run(milliseconds(3500));
-  Candidate* sleeper = Holder();
-  ASSERT_NE(sleeper, nullptr);
-  sleeper->Freeze(milliseconds(6000));
+  Candidate* suspended = Holder();
+  ASSERT_NE(suspended, nullptr);
+  suspended->Freeze(milliseconds(6000));
   Run(milliseconds(5500));
   ASSERT_NE(Holder(), nullptr);
-  EXPECT_NE(Holder(), sleeper);
+  EXPECT_NE(Holder(), suspended);
   Run(milliseconds(2000));
-  EXPECT_FALSE(sleeper->token().has_value());
+  EXPECT_FALSE(suspended->token().has_value());
 }
 
-// The holder leaves. Promotions have to go on without a wait for the lease.
+// The holder shuts down. Another takes over without waiting for the lease to
+// expire.
 TEST_F(ElectionTest, AnotherTakesOverAtOnceWhenTheHolderRetires) {
   Make(3, 4);
   Run(milliseconds(3500));
-  Candidate* leaver = Holder();
-  ASSERT_NE(leaver, nullptr);
-  leaver->election().Retire(clock_.now());
+  Candidate* retired = Holder();
+  ASSERT_NE(retired, nullptr);
+  retired->election().Retire(clock_.now());
   Run(milliseconds(600));
   ASSERT_NE(Holder(), nullptr);
-  EXPECT_NE(Holder(), leaver);
+  EXPECT_NE(Holder(), retired);
 }
 
-// The holder and the next in rank are asleep together, as when a failure domain
-// is lost or the store turns some instances away. No group gets a new primary
-// while nobody holds the duty, so it must not wait for those that do not come.
-TEST_F(ElectionTest, TheDutyDoesNotWaitForCandidatesThatAreGone) {
+// The holder and the next candidates in rank fail together, as when a failure
+// domain is lost or the store rejects some instances. No group gets a new
+// primary without a holder, so the others must not wait for the failed
+// candidates.
+TEST_F(ElectionTest, TheDutyDoesNotWaitForFailedCandidates) {
   Make(6, 8);
   Run(milliseconds(3500));
   for (size_t i = 0; i < 4; ++i) candidates_[i]->Freeze(milliseconds(20000));
-  // The lease has to run out first, which takes up to three seconds.
+  // The lease expires first, which takes up to 3 s.
   Run(milliseconds(3600));
   ASSERT_NE(Holder(), nullptr);
   EXPECT_FALSE(Holder()->frozen());
 }
 
-// An order to promote stays unanswered; it may be carried out seconds later.
-// Only a higher token makes the platform refuse it then.
-TEST_F(ElectionTest, ARenouncedDutyComesBackWithAHigherToken) {
+// An unanswered promotion may be executed seconds later. The platform rejects
+// it only if a higher token has been used.
+TEST_F(ElectionTest, ARenouncedDutyIsAcquiredWithAHigherToken) {
   Make(4, 1);
   Run(milliseconds(3500));
   const auto before = Holder()->token();
@@ -306,9 +308,9 @@
   EXPECT_GT(*Holder()->token(), *before);
 }
 
-// The store is slow, loses answers, goes down, drops leases, and machines are
-// suspended, all at random. Two holders at one moment could send a group back
-// and forth between two primaries.
+// The store is slow, loses answers, fails and drops leases, and machines are
+// suspended, all at random. Two simultaneous holders could switch a group
+// repeatedly between two primaries.
 TEST(ElectionRandom, NeverHasTwoHolders) {
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -333,12 +335,12 @@
       }
       int holding = 0;
       for (const auto& candidate : candidates) {
-        // A suspended one does nothing, whatever it believes.
+        // A suspended candidate orders nothing.
         if (candidate->frozen()) continue;
         const auto token = candidate->token();
         if (!token.has_value()) continue;
-        // Keys that the store took away without telling may still be believed
-        // in for the time that a watch needs; the token fences those off.
+        // A candidate may miss for the delay of its watch that the store has
+        // dropped its key; its token fences its orders meanwhile.
         if (store.holder.has_value() && store.holder->token == *token) {
           ++holding;
         }
@@ -346,8 +348,8 @@
       }
       ASSERT_LE(holding, 1);
     }
-    // The trouble is over: within a lease and a round of claims the duty is
-    // held again, whatever state the candidates were left in.
+    // Without faults, the duty is held again within one lease and one round of
+    // claims, regardless of the candidates' states.
     store.down = false;
     store.delay = milliseconds(4);
     store.lose_one_in = 0;
