--- a/src/include/ryefold/core/membership/duties.h
+++ b/src/include/ryefold/core/membership/duties.h
@@ -1,9 +1,13 @@
 #pragma once
 
-// Which groups this instance keeps, and which it watches as a successor.
+// Assignment of database groups to keepers. The keeper of a group is the
+// instance that holds its database connections; the successor is the next
+// instance in the group's rank order, which checks that the keeper is alive.
+// Entries, the instances that receive callers' requests, forward them to the
+// keeper.
 //
-// Two instances may keep one group at the same time. Nothing but connections
-// is lost by that: terms, checked by the databases, decide what is valid.
+// Two instances may keep one group at the same time. This only costs
+// connections: the databases check terms, which decide what is valid.
 
 #include <chrono>
 #include <cstdint>
@@ -22,23 +26,23 @@
 
 // ---- events ----
 
-/// The groups of the catalog in force.
+/// The catalog in force has changed; `groups` are its groups.
 struct GroupsChanged {
   std::vector<std::string> groups;
 };
-/// The roster's members have changed.
+/// The members or suspicions of the roster have changed.
 struct RosterChanged {};
 struct CheckAnswered {
   CallId call = 0;
   configuration::DutyReply reply;
 };
-/// `refused`: the address answers, but nobody listens there, or the peer has
-/// closed its connections; a mere timeout may be slowness.
+/// A check failed. `refused`: the address is reachable but the peer does not
+/// listen there or closed its connections; a timeout may only be slowness.
 struct CheckFailed {
   CallId call = 0;
   bool refused = false;
 };
-/// The instance is going to stop: all groups are given up.
+/// The instance is shutting down and releases all groups.
 struct Retire {};
 struct DutyTick {};
 
@@ -47,14 +51,15 @@
 
 // ---- actions ----
 
-/// Begin to keep the group, or go on (`group::StepUp`).
+/// Starts or continues to keep the group (`group::StepUp`).
 struct Keep {
   std::string group;
 };
-/// Finish what is open and give the connections back (`group::StepDown`).
+/// Finishes open requests and releases the connections (`group::StepDown`).
 struct GiveUp {
   std::string group;
 };
+/// Asks `instance` which of the groups in `request` it keeps.
 struct Check {
   CallId call = 0;
   std::string instance;
@@ -67,21 +72,22 @@
 struct DutyTiming {
   std::chrono::milliseconds check_interval{1000};
   std::chrono::milliseconds check_timeout{800};
-  /// Timeouts in a row after which the keeper is suspected; one refused
+  /// Consecutive timeouts after which an instance is suspected; one refused
   /// connection is enough.
-  uint32_t misses = 2;
-  /// How long a group is kept because entries ask for it here.
-  std::chrono::milliseconds asked_for{10000};
-  /// How many in rank keep a group at once because entries ask. One further
-  /// down first looks whether those before it answer.
-  size_t asked_ranks = 3;
-  /// How many in rank take part in a group at all. In a region of two failure
-  /// domains one group in 2^ranks loses all of them with one domain.
-  size_t ranks = 16;
+  uint32_t suspicion_threshold = 2;
+  /// How long a group is kept after a request of an entry.
+  std::chrono::milliseconds request_hold_time{10000};
+  /// Number of top-ranked instances that keep a group as soon as an entry
+  /// requests it. Later ones first check the instances before them.
+  size_t immediate_ranks = 3;
+  /// Number of top-ranked instances that may keep a group. In a region of two
+  /// failure domains, one group in 2^max_ranks has all of them in one domain
+  /// and loses them together.
+  size_t max_ranks = 16;
 };
 
-/// State machine of one instance, for all groups. Owned by the task that owns
-/// the roster.
+/// State machine of one instance for all groups. Owned by the task that owns
+/// the roster; not thread-safe.
 class Duties {
  public:
   Duties(std::string self, Roster* roster, DutyTiming timing = {});
@@ -92,19 +98,19 @@
   void Handle(TimePoint now, const DutyEvent& event,
               std::vector<DutyAction>* actions);
 
-  /// An entry has sent a request for `group` here. True when the group is
-  /// kept, if need be from now on and for a while: an entry that cannot reach
-  /// the intended keeper is served although the keeper lives. False tells the
-  /// entry to go elsewhere; nothing was run.
+  /// Handles a request of an entry for `group`. Returns whether this instance
+  /// keeps the group. Starts to keep it for a limited time if necessary, so
+  /// that an entry that cannot reach a live keeper is served. If false, no
+  /// statement has run and the entry tries another instance.
   bool Asked(TimePoint now, const std::string& group,
              std::vector<DutyAction>* actions);
 
-  /// Answer to a successor's check.
+  /// Returns the answer to a successor's check.
   configuration::DutyReply Answer(const configuration::DutyCheck& check) const;
 
   bool Keeps(const std::string& group) const;
   std::vector<std::string> kept() const;
-  /// Groups that this instance watches as a successor.
+  /// Returns the groups that this instance checks as the first successor.
   std::vector<std::string> watched() const;
   TimePoint next_deadline() const;
 
--- a/src/include/ryefold/core/membership/instance.h
+++ b/src/include/ryefold/core/membership/instance.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Entries of the platform's list of live and leaving instances.
+// Members of the platform's list of live and leaving instances and databases.
 
 #include <cstdint>
 #include <string>
@@ -10,14 +10,14 @@
 enum class MemberKind : uint8_t { kInstance, kDatabase };
 enum class MemberState : uint8_t { kLive, kLeaving };
 
-/// One instance of the proxy, or one database.
+/// One instance of the proxy or one database.
 struct Member {
   std::string name;
   MemberKind kind = MemberKind::kInstance;
   MemberState state = MemberState::kLive;
-  /// Where callers (of an instance) or statements (of a database) go.
+  /// Address for callers (of an instance) or for statements (of a database).
   std::string address;
-  /// Where other instances reach it; empty for a database.
+  /// Address for other instances; empty for a database.
   std::string peer_address;
   /// Database group; empty for an instance.
   std::string group;
--- a/src/include/ryefold/core/membership/registration.h
+++ b/src/include/ryefold/core/membership/registration.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Keeps this instance's entry in the platform's store, by which the others know
-// that it is there: an entry under a lease, renewed while the process lives.
+// Registers this instance in the platform's store, where other instances
+// discover it: a record under a lease that is renewed while the process runs.
 
 #include <chrono>
 #include <cstdint>
@@ -16,47 +16,47 @@
 using failover::LeaseId;
 using failover::StoreOutcome;
 
-/// Calls on the store. Each but the last leads to one event of the
-/// registration, never before the call has returned.
+/// Calls to the store. The result of each except `EndLease` is reported through
+/// one event method of `Registration`, never before the call returns.
 class RegistrationPort {
  public:
   virtual ~RegistrationPort() = default;
   virtual void GrantLease(std::chrono::milliseconds ttl) = 0;
   virtual void PutEntry(LeaseId lease) = 0;
   virtual void RenewLease(LeaseId lease) = 0;
-  /// Best effort: the lease ends by itself as well. Leads to no event.
+  /// Best effort, since the lease also expires by itself. Reports no result.
   virtual void EndLease(LeaseId lease) = 0;
 };
 
 struct RegistrationTiming {
-  /// An instance that died is listed for this long at most. Others pass it over
-  /// within a tenth of a second by its silence; the list only settles who keeps
-  /// which group, so there is no hurry.
-  std::chrono::milliseconds ttl{60000};
-  /// Each renewal is a call to the store, and a calm fleet makes most of its
-  /// calls so. Two renewals may fail.
-  std::chrono::milliseconds renew{20000};
-  /// Pause after a failed call, doubled up to the most, half of it at random.
-  /// Entries that were lost while the store was away have to be back before
-  /// other instances stop counting them, 4 s after its return.
-  std::chrono::milliseconds retry{500};
-  std::chrono::milliseconds most_retry{2000};
-  /// When entries are lost all at once, all instances hear of it at once; they
-  /// register anew spread over this span.
-  std::chrono::milliseconds spread{1000};
+  /// A crashed instance stays listed for at most this long. The list only
+  /// determines which instance keeps which group, so a long time is acceptable:
+  /// other instances bypass an unreachable one within 100 ms.
+  std::chrono::milliseconds lease_ttl{60000};
+  /// Each renewal is a call to the store; in a healthy fleet most store calls
+  /// are renewals. Two consecutive renewals may fail.
+  std::chrono::milliseconds renew_interval{20000};
+  /// Backoff after a failed call, doubled up to `max_retry_delay`; half of it
+  /// is random. Records lost during a store outage must be restored before
+  /// other instances drop them, 4 s after the store returns.
+  std::chrono::milliseconds retry_delay{500};
+  std::chrono::milliseconds max_retry_delay{2000};
+  /// When all records are lost at once, all instances are notified at once.
+  /// They register again at random times within this span.
+  std::chrono::milliseconds reregistration_spread{1000};
 };
 
-/// Not thread-safe; owned by one task, which hands in every event with its
-/// time.
+/// State machine of the registration. Not thread-safe; owned by one task, which
+/// passes in every event with its time.
 class Registration {
  public:
   Registration(RegistrationTiming timing, uint64_t seed,
                RegistrationPort* port);
 
   void Start(TimePoint now);
-  /// Takes the entry away: others stop sending statements here.
+  /// Removes the record, so that other instances send no more statements here.
   void Leave();
-  /// The entry was seen to be gone while this process lives: its lease ran out,
+  /// The record no longer exists although this process runs: its lease expired
   /// or the store dropped it.
   void EntryLost(TimePoint now);
 
@@ -65,22 +65,22 @@
   void LeaseRenewed(TimePoint now, StoreOutcome outcome);
 
   void Tick(TimePoint now);
-  TimePoint next_deadline() const { return due_; }
+  TimePoint next_deadline() const { return due_at_; }
 
  private:
-  /// The call that is made at `due_`.
+  /// The call that is made at `due_at_`.
   enum class Step : uint8_t { kGrant, kRenew };
 
-  void Next(TimePoint when, Step step);
-  void Retry(TimePoint now, Step step);
-  std::chrono::milliseconds UpTo(std::chrono::milliseconds most);
+  void Schedule(TimePoint when, Step step);
+  void ScheduleRetry(TimePoint now, Step step);
+  std::chrono::milliseconds RandomUpTo(std::chrono::milliseconds limit);
 
   const RegistrationTiming timing_;
   RegistrationPort* port_;
   std::mt19937_64 random_;
   LeaseId lease_ = 0;
   Step step_ = Step::kGrant;
-  TimePoint due_ = TimePoint::max();
+  TimePoint due_at_ = TimePoint::max();
   uint32_t failures_ = 0;
   bool leaving_ = false;
 };
--- a/src/include/ryefold/core/membership/roster.h
+++ b/src/include/ryefold/core/membership/roster.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Who is there: the platform's lagging list, corrected by what this instance
-// has itself seen fail.
+// The members of the fleet: the platform's list, which may be outdated,
+// combined with the failures that this instance has observed.
 
 #include <chrono>
 #include <cstddef>
@@ -17,85 +17,91 @@
 namespace ryefold::core::membership {
 
 struct RosterTiming {
-  /// How long one failure counts against an instance; doubled with each
-  /// further one before it answers again, up to `suspicion_max`.
-  std::chrono::milliseconds suspicion{5000};
-  std::chrono::milliseconds suspicion_max{60000};
+  /// How long an instance is suspected after a failure; doubled with each
+  /// further failure before it answers again, up to `max_suspicion_time`.
+  std::chrono::milliseconds suspicion_time{5000};
+  std::chrono::milliseconds max_suspicion_time{60000};
 };
 
-/// Members by name, suspicion, and the order in which instances may keep a
-/// group. Owned by one task; entries and duties share it there.
+/// Members by name, their suspicions, and the rank order of the instances for
+/// each group: the first is the intended keeper, the next its successor. Not
+/// thread-safe; owned by one task and shared there by entries and duties.
 class Roster {
  public:
   explicit Roster(RosterTiming timing = {});
 
-  /// Takes the whole list, as `configuration::Node::members` gives it.
+  /// Replaces all members, as returned by `configuration::Node::members`.
   void SetMembers(const std::vector<Member>& members);
 
-  /// A call to the instance failed or timed out. Evidence comes from calls
-  /// that were made anyway; nothing probes the whole fleet.
+  /// Suspects the instance because a call to it failed or timed out. Failures
+  /// are observed on regular calls; the whole fleet is never probed.
   void Suspect(TimePoint now, const std::string& instance);
-  /// The instance answered.
+  /// Clears the suspicion of an instance that answered.
   void Trust(const std::string& instance);
   bool Suspected(TimePoint now, const std::string& instance) const;
 
-  /// Names of the instances that may keep `group`, the intended keeper first:
-  /// by xxhash64 of group and instance, so that a lost instance moves only
-  /// its own groups; leaving ones after live ones, suspected ones last. The
-  /// first sixteen are given, more only if all of these are suspected. Only
-  /// instances in the region that holds most of the group's databases count,
-  /// as long as the list names one that is live there: a region that is cut
-  /// off from the databases must not propose terms for them.
+  /// Returns the names of the instances that may keep `group` in rank order,
+  /// which is by xxhash64 of group and instance (rendezvous hashing), so that
+  /// a lost instance moves only its own groups. Leaving instances follow live
+  /// ones; suspected ones are last. Returns the first 16, or all if all of the
+  /// first 16 are suspected.
   ///
-  /// The first two may stand in one failure domain. An order that spreads
-  /// them could not keep the rest in place when the first one goes, so each
+  /// Only instances in the region with most of the group's databases count
+  /// while the list has a live one there: a region that is partitioned from the
+  /// databases must not propose terms for them.
+  ///
+  /// The first two may be in the same failure domain. An order that separates
+  /// them would also move other instances when the first is lost, so that each
   /// loss would move a group twice.
   std::vector<std::string> Ranked(TimePoint now,
                                   const std::string& group) const;
-  /// The same order as if nobody were suspected, without a copy; valid until
-  /// the next `SetMembers`.
+  /// Returns the rank order without regard to suspicions. The reference is
+  /// valid until the next `SetMembers`.
   const std::vector<std::string>& Intended(const std::string& group) const;
 
-  /// Nothing when the name is not listed.
+  /// Returns nullptr if the name is not listed.
   const Member* Find(const std::string& name) const;
-  /// Databases listed for the group, in order of name.
+  /// Returns the databases listed for the group, ordered by name.
   std::vector<Member> DatabasesOf(const std::string& group) const;
-  /// Live and leaving instances, in order of name.
+  /// Returns live and leaving instances, ordered by name.
   std::vector<Member> instances() const;
 
  private:
   struct Suspicion {
     TimePoint until;
-    std::chrono::milliseconds length{0};
+    std::chrono::milliseconds duration{0};
   };
 
-  /// An instance with the hash of its name, worked out once.
+  /// An instance with the precomputed hash of its name.
   struct Candidate {
     const Member* member = nullptr;
     uint64_t hash = 0;
   };
 
-  /// First in rank for one group, and the region that they come from.
+  /// Cached rank order of one group, and the region of its instances.
   struct Order {
     std::string region;
     std::vector<std::string> names;
   };
 
-  /// Forgets the orders that a change from `before` to the present members
-  /// can have touched.
-  void DropStale(const std::map<std::string, Member>& before);
-  bool Touches(const std::string& group, const Order& order,
-               const Candidate& added) const;
-  std::string RegionOf(const std::string& group) const;
-  std::vector<std::string> Sorted(const std::string& group, size_t most) const;
+  /// Drops the cached orders that the change from `before` to the current
+  /// members may affect.
+  void DropStaleOrders(const std::map<std::string, Member>& before);
+  /// Returns whether `added` may rank among the instances of `order`.
+  bool IsAffectedBy(const std::string& group, const Order& order,
+                    const Candidate& added) const;
+  /// Returns the region whose instances may keep the group; empty for all.
+  std::string KeeperRegion(const std::string& group) const;
+  std::vector<std::string> ComputeOrder(const std::string& group,
+                                        size_t max_count) const;
 
   RosterTiming timing_;
   std::map<std::string, Member> members_;
   std::vector<Candidate> instances_;
   std::map<std::string, std::vector<std::string>> databases_;
   std::map<std::string, Suspicion> suspicions_;
-  /// Orders worked out so far. Entries ask for one with each request; hashing
-  /// the fleet each time would cost a core.
+  /// Cache by group. Entries read an order for each request; computing the
+  /// hashes for the whole fleet each time would occupy a processor core.
   mutable std::unordered_map<std::string, Order> orders_;
 };
 
--- a/src/libcore/membership/duties.cc
+++ b/src/libcore/membership/duties.cc
@@ -20,7 +20,7 @@
               std::vector<DutyAction>* actions) {
     actions_ = actions;
     std::visit([this, now](const auto& e) { On(now, e); }, event);
-    Advance(now);
+    Update(now);
     actions_ = nullptr;
   }
   bool Asked(TimePoint now, const std::string& group,
@@ -35,45 +35,48 @@
   TimePoint next_deadline() const { return next_check_; }
 
  private:
-  /// A group in whose order this instance stands among the first.
+  /// State of a group for which this instance is among the first `max_ranks`,
+  /// or which it keeps.
   struct Duty {
     bool keeping = false;
-    /// Kept until then because entries ask for it here.
-    TimePoint asked_until;
-    /// Kept until then because the one that should does not serve it (yet).
-    TimePoint cover_until;
-    /// All that stand before this instance are looked at until then.
-    TimePoint inspect_until;
-    /// Since when the one that should does not serve it, though it answers.
-    TimePoint declined_since;
+    /// The group is kept until then because entries request it.
+    TimePoint requested_until;
+    /// The group is kept until then because the intended keeper does not serve
+    /// it yet.
+    TimePoint covering_until;
+    /// All instances ranked before this one are checked until then.
+    TimePoint inspecting_until;
+    /// Since when the intended keeper answers checks without serving the group.
+    TimePoint not_served_since;
   };
-  struct Target {
-    uint32_t misses = 0;
-    bool waiting = false;
+  struct TargetState {
+    uint32_t failed_checks = 0;
+    bool check_in_flight = false;
   };
-  struct Pending {
+  struct PendingCheck {
     std::string instance;
     std::vector<std::string> groups;
   };
 
   void On(TimePoint now, const GroupsChanged& event);
-  void On(TimePoint now, const RosterChanged&) { Select(now); }
+  void On(TimePoint now, const RosterChanged&) { SelectGroups(now); }
   void On(TimePoint now, const CheckAnswered& event);
   void On(TimePoint now, const CheckFailed& event);
   void On(TimePoint now, const Retire&);
   void On(TimePoint, const DutyTick&) {}
 
-  void Select(TimePoint now);
-  void Advance(TimePoint now);
-  void Decide(TimePoint now, const std::string& group, Duty* duty);
+  void SelectGroups(TimePoint now);
+  void Update(TimePoint now);
+  void UpdateDuty(TimePoint now, const std::string& group, Duty* duty);
   void SendChecks(TimePoint now);
-  std::vector<std::string> ToCheck(TimePoint now, const std::string& group,
-                                   const Duty& duty) const;
-  std::vector<std::string> Before(const std::string& group) const;
-  bool OneDomain(const std::string& a, const std::string& b) const;
-  bool WatchesFromOutside(const std::vector<std::string>& ranked,
-                          ptrdiff_t place) const;
-  void Served(TimePoint now, const std::string& group, bool served);
+  std::vector<std::string> InstancesToCheck(TimePoint now,
+                                            const std::string& group,
+                                            const Duty& duty) const;
+  std::vector<std::string> Predecessors(const std::string& group) const;
+  bool InSameDomain(const std::string& a, const std::string& b) const;
+  bool IsOutsideWatcher(const std::vector<std::string>& ranked,
+                        ptrdiff_t place) const;
+  void RecordCheckResult(TimePoint now, const std::string& group, bool served);
 
   const std::string self_;
   Roster* const roster_;
@@ -81,8 +84,8 @@
   std::vector<DutyAction>* actions_ = nullptr;
   std::vector<std::string> groups_;
   std::map<std::string, Duty> duties_;
-  std::unordered_map<std::string, Target> targets_;
-  std::unordered_map<CallId, Pending> calls_;
+  std::unordered_map<std::string, TargetState> targets_;
+  std::unordered_map<CallId, PendingCheck> calls_;
   CallId next_call_ = 1;
   TimePoint next_check_;
   bool retired_ = false;
@@ -90,19 +93,19 @@
 
 void Duties::Impl::On(TimePoint now, const GroupsChanged& event) {
   groups_ = event.groups;
-  Select(now);
+  SelectGroups(now);
 }
 
-void Duties::Impl::Select(TimePoint now) {
+void Duties::Impl::SelectGroups(TimePoint now) {
   std::map<std::string, Duty> selected;
   for (const std::string& group : groups_) {
     const std::vector<std::string>& order = roster_->Intended(group);
-    const size_t ranks = std::min(timing_.ranks, order.size());
-    const auto end = order.begin() + static_cast<ptrdiff_t>(ranks);
-    const bool near = std::find(order.begin(), end, self_) != end;
+    const size_t count = std::min(timing_.max_ranks, order.size());
+    const auto end = order.begin() + static_cast<ptrdiff_t>(count);
+    const bool in_ranks = std::find(order.begin(), end, self_) != end;
     const auto old = duties_.find(group);
     const bool keeping = old != duties_.end() && old->second.keeping;
-    if (!near && !keeping) continue;
+    if (!in_ranks && !keeping) continue;
     Duty& duty = selected[group];
     if (old != duties_.end()) duty = old->second;
   }
@@ -115,83 +118,86 @@
   next_check_ = std::min(next_check_, now);
 }
 
-std::vector<std::string> Duties::Impl::Before(const std::string& group) const {
+std::vector<std::string> Duties::Impl::Predecessors(
+    const std::string& group) const {
   const std::vector<std::string>& order = roster_->Intended(group);
   const auto own = std::find(order.begin(), order.end(), self_);
   return {order.begin(), own};
 }
 
-bool Duties::Impl::OneDomain(const std::string& a, const std::string& b) const {
+bool Duties::Impl::InSameDomain(const std::string& a,
+                                const std::string& b) const {
   const Member* first = roster_->Find(a);
   const Member* second = roster_->Find(b);
   return first != nullptr && second != nullptr &&
          first->failure_domain == second->failure_domain;
 }
 
-std::vector<std::string> Duties::Impl::ToCheck(TimePoint now,
-                                               const std::string& group,
-                                               const Duty& duty) const {
-  std::vector<std::string> before = Before(group);
-  if (duty.inspect_until > now) return before;
+std::vector<std::string> Duties::Impl::InstancesToCheck(
+    TimePoint now, const std::string& group, const Duty& duty) const {
+  std::vector<std::string> predecessors = Predecessors(group);
+  if (duty.inspecting_until > now) return predecessors;
   const std::vector<std::string> ranked = roster_->Ranked(now, group);
   const auto own = std::find(ranked.begin(), ranked.end(), self_);
   const auto place = own - ranked.begin();
   if (place == 0) {
-    // Kept in place of others: the first of them that answers gets it back.
-    // All are looked at, or the suspicion of the rest would run out and the
-    // group be given up in favour of one that is just as dead.
-    return before;
+    // The group is kept in place of suspected instances and returns to the
+    // first of them that answers. All are checked; otherwise their suspicions
+    // would expire and the group would be released to a failed instance.
+    return predecessors;
   }
-  if (WatchesFromOutside(ranked, place)) {
-    // One that misses may be the sign that its whole domain is gone: all that
-    // stand in it are looked at together, not one after another.
+  if (IsOutsideWatcher(ranked, place)) {
+    // A failed check may mean that the whole failure domain is lost, so all its
+    // instances are checked at once instead of one after another.
     const auto front = targets_.find(ranked[0]);
-    const bool missed = front != targets_.end() && front->second.misses > 0;
-    return {ranked.begin(), ranked.begin() + (missed ? place : 1)};
+    const bool check_failed =
+        front != targets_.end() && front->second.failed_checks > 0;
+    return {ranked.begin(), ranked.begin() + (check_failed ? place : 1)};
   }
   if (place == 1 || duty.keeping) return {ranked[0]};
   return {};
 }
 
-/// A lost failure domain can take the keeper together with its successors, as
-/// many as stand in it. Without a watcher elsewhere the group would stay
-/// unserved until entries ask: the first in rank outside the keeper's domain
-/// watches as well.
-bool Duties::Impl::WatchesFromOutside(const std::vector<std::string>& ranked,
-                                      ptrdiff_t place) const {
-  if (place < 2 || OneDomain(ranked[0], self_)) return false;
+/// Returns whether this instance is the first in rank outside the keeper's
+/// failure domain. It checks the keeper too, because the loss of that domain
+/// takes the keeper and all successors in it at once, and the group would stay
+/// unserved until an entry requests it.
+bool Duties::Impl::IsOutsideWatcher(const std::vector<std::string>& ranked,
+                                    ptrdiff_t place) const {
+  if (place < 2 || InSameDomain(ranked[0], self_)) return false;
   return std::all_of(
       ranked.begin() + 1, ranked.begin() + place,
-      [&](const std::string& name) { return OneDomain(ranked[0], name); });
+      [&](const std::string& name) { return InSameDomain(ranked[0], name); });
 }
 
-void Duties::Impl::Decide(TimePoint now, const std::string& group, Duty* duty) {
+void Duties::Impl::UpdateDuty(TimePoint now, const std::string& group,
+                              Duty* duty) {
   const std::vector<std::string> ranked = roster_->Ranked(now, group);
   const bool first = !ranked.empty() && ranked.front() == self_;
-  if (duty->keeping && !first && duty->cover_until == TimePoint()) {
-    // The new first one may not have begun; until it says so, entries that it
-    // refuses are served here.
-    duty->cover_until = now + 3 * timing_.check_interval;
+  if (duty->keeping && !first && duty->covering_until == TimePoint()) {
+    // The new first instance may not keep the group yet. Entries that it
+    // refuses are served here until it confirms.
+    duty->covering_until = now + 3 * timing_.check_interval;
     next_check_ = now;
   }
-  const bool keep = !retired_ && (first || duty->asked_until > now ||
-                                  duty->cover_until > now);
+  const bool keep = !retired_ && (first || duty->requested_until > now ||
+                                  duty->covering_until > now);
   if (first) {
-    duty->cover_until = TimePoint();
-    duty->declined_since = TimePoint();
+    duty->covering_until = TimePoint();
+    duty->not_served_since = TimePoint();
   }
   if (keep == duty->keeping) return;
   duty->keeping = keep;
   if (keep) {
     actions_->push_back(Keep{group});
   } else {
-    duty->cover_until = TimePoint();
+    duty->covering_until = TimePoint();
     actions_->push_back(GiveUp{group});
   }
 }
 
-void Duties::Impl::Advance(TimePoint now) {
-  for (auto& [group, duty] : duties_) Decide(now, group, &duty);
+void Duties::Impl::Update(TimePoint now) {
+  for (auto& [group, duty] : duties_) UpdateDuty(now, group, &duty);
   if (next_check_ > now) return;
   next_check_ = now + timing_.check_interval;
   SendChecks(now);
@@ -201,15 +207,15 @@
   if (retired_) return;
   std::map<std::string, std::vector<std::string>> by_target;
   for (const auto& [group, duty] : duties_) {
-    for (const std::string& name : ToCheck(now, group, duty)) {
+    for (const std::string& name : InstancesToCheck(now, group, duty)) {
       by_target[name].push_back(group);
     }
   }
   for (auto& [name, groups] : by_target) {
     const Member* member = roster_->Find(name);
-    Target& target = targets_[name];
-    if (member == nullptr || target.waiting) continue;
-    target.waiting = true;
+    TargetState& target = targets_[name];
+    if (member == nullptr || target.check_in_flight) continue;
+    target.check_in_flight = true;
     const CallId call = next_call_++;
     calls_[call] = {name, groups};
     actions_->push_back(Check{call, name, member->peer_address,
@@ -218,47 +224,49 @@
   }
 }
 
-void Duties::Impl::Served(TimePoint now, const std::string& group,
-                          bool served) {
+void Duties::Impl::RecordCheckResult(TimePoint now, const std::string& group,
+                                     bool served) {
   const auto found = duties_.find(group);
   if (found == duties_.end()) return;
   Duty& duty = found->second;
   if (served) {
-    duty.declined_since = TimePoint();
-    if (duty.cover_until != TimePoint()) duty.cover_until = now;
+    duty.not_served_since = TimePoint();
+    if (duty.covering_until != TimePoint()) duty.covering_until = now;
     return;
   }
-  if (duty.declined_since == TimePoint()) duty.declined_since = now;
-  // Not at the first no: the two may just not have heard the same yet.
-  const bool lasting = now - duty.declined_since >= 2 * timing_.check_interval;
-  if (duty.keeping || lasting) {
-    duty.cover_until = now + 3 * timing_.check_interval;
+  if (duty.not_served_since == TimePoint()) duty.not_served_since = now;
+  // The first negative answer is ignored: the two instances may have received
+  // different member lists for a short time.
+  const bool persistent =
+      now - duty.not_served_since >= 2 * timing_.check_interval;
+  if (duty.keeping || persistent) {
+    duty.covering_until = now + 3 * timing_.check_interval;
   }
 }
 
 void Duties::Impl::On(TimePoint now, const CheckAnswered& event) {
   const auto found = calls_.find(event.call);
   if (found == calls_.end()) return;
-  const Pending pending = std::move(found->second);
+  const PendingCheck pending = std::move(found->second);
   calls_.erase(found);
   targets_.erase(pending.instance);
   roster_->Trust(pending.instance);
   const std::set<std::string> keeping(event.reply.keeping.begin(),
                                       event.reply.keeping.end());
   for (const std::string& group : pending.groups) {
-    Served(now, group, keeping.contains(group));
+    RecordCheckResult(now, group, keeping.contains(group));
   }
 }
 
 void Duties::Impl::On(TimePoint now, const CheckFailed& event) {
   const auto found = calls_.find(event.call);
   if (found == calls_.end()) return;
-  const Pending pending = std::move(found->second);
+  const PendingCheck pending = std::move(found->second);
   calls_.erase(found);
-  Target& target = targets_[pending.instance];
-  target.waiting = false;
-  target.misses += event.refused ? timing_.misses : 1;
-  if (target.misses >= timing_.misses) {
+  TargetState& target = targets_[pending.instance];
+  target.check_in_flight = false;
+  target.failed_checks += event.refused ? timing_.suspicion_threshold : 1;
+  if (target.failed_checks >= timing_.suspicion_threshold) {
     roster_->Suspect(now, pending.instance);
   } else {
     next_check_ = now;
@@ -278,11 +286,11 @@
   actions_ = actions;
   const std::vector<std::string> ranked = roster_->Ranked(now, group);
   const auto own = std::find(ranked.begin(), ranked.end(), self_);
-  if (own - ranked.begin() < static_cast<ptrdiff_t>(timing_.asked_ranks)) {
-    duty.asked_until = now + timing_.asked_for;
-    Decide(now, group, &duty);
-  } else if (duty.inspect_until <= now) {
-    duty.inspect_until = now + timing_.asked_for / 2;
+  if (own - ranked.begin() < static_cast<ptrdiff_t>(timing_.immediate_ranks)) {
+    duty.requested_until = now + timing_.request_hold_time;
+    UpdateDuty(now, group, &duty);
+  } else if (duty.inspecting_until <= now) {
+    duty.inspecting_until = now + timing_.request_hold_time / 2;
     SendChecks(now);
   }
   actions_ = nullptr;
--- a/src/libcore/membership/registration.cc
+++ b/src/libcore/membership/registration.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Part of the pause between renewals that is drawn at random. Instances that
-/// have started together would otherwise renew at one moment for good.
+/// Inverse of the random fraction of the renewal interval. Without jitter,
+/// instances that started together would always renew at the same time.
 constexpr int kJitterDivisor = 5;
 
 }  // namespace
@@ -18,23 +18,23 @@
                            RegistrationPort* port)
     : timing_(timing), port_(port), random_(seed) {}
 
-void Registration::Start(TimePoint now) { Next(now, Step::kGrant); }
+void Registration::Start(TimePoint now) { Schedule(now, Step::kGrant); }
 
 void Registration::Leave() {
   leaving_ = true;
-  due_ = TimePoint::max();
+  due_at_ = TimePoint::max();
   if (lease_ != 0) port_->EndLease(lease_);
 }
 
 void Registration::EntryLost(TimePoint now) {
-  // What is due sooner finds out or is the remedy.
-  if (leaving_ || due_ == TimePoint::max() || step_ == Step::kGrant) return;
-  Next(now + UpTo(timing_.spread), Step::kGrant);
+  // A pending call either detects the loss or is the new registration itself.
+  if (leaving_ || due_at_ == TimePoint::max() || step_ == Step::kGrant) return;
+  Schedule(now + RandomUpTo(timing_.reregistration_spread), Step::kGrant);
 }
 
 void Registration::LeaseGranted(TimePoint now, std::optional<LeaseId> lease) {
   if (!lease.has_value()) {
-    Retry(now, Step::kGrant);
+    ScheduleRetry(now, Step::kGrant);
     return;
   }
   lease_ = *lease;
@@ -47,12 +47,12 @@
 
 void Registration::EntryPut(TimePoint now, StoreOutcome outcome) {
   if (outcome != StoreOutcome::kDone) {
-    Retry(now, Step::kGrant);
+    ScheduleRetry(now, Step::kGrant);
     return;
   }
   failures_ = 0;
-  const milliseconds jitter = timing_.renew / kJitterDivisor;
-  Next(now + timing_.renew - UpTo(jitter), Step::kRenew);
+  const milliseconds jitter = timing_.renew_interval / kJitterDivisor;
+  Schedule(now + timing_.renew_interval - RandomUpTo(jitter), Step::kRenew);
 }
 
 void Registration::LeaseRenewed(TimePoint now, StoreOutcome outcome) {
@@ -61,38 +61,38 @@
       EntryPut(now, outcome);
       break;
     case StoreOutcome::kRefused:
-      Next(now, Step::kGrant);
+      Schedule(now, Step::kGrant);
       break;
     case StoreOutcome::kUnknown:
-      Retry(now, Step::kRenew);
+      ScheduleRetry(now, Step::kRenew);
       break;
   }
 }
 
-void Registration::Next(TimePoint when, Step step) {
+void Registration::Schedule(TimePoint when, Step step) {
   if (leaving_) return;
   step_ = step;
-  due_ = when;
+  due_at_ = when;
 }
 
-void Registration::Retry(TimePoint now, Step step) {
-  constexpr uint32_t kMostDoublings = 8;
-  const uint32_t doublings = std::min(failures_++, kMostDoublings);
-  const milliseconds pause =
-      std::min(timing_.retry * (1 << doublings), timing_.most_retry);
-  Next(now + pause / 2 + UpTo(pause / 2), step);
+void Registration::ScheduleRetry(TimePoint now, Step step) {
+  constexpr uint32_t kMaxDoublings = 8;
+  const uint32_t doublings = std::min(failures_++, kMaxDoublings);
+  const milliseconds delay =
+      std::min(timing_.retry_delay * (1 << doublings), timing_.max_retry_delay);
+  Schedule(now + delay / 2 + RandomUpTo(delay / 2), step);
 }
 
-milliseconds Registration::UpTo(milliseconds most) {
-  std::uniform_int_distribution<int64_t> part(0, most.count());
-  return milliseconds(part(random_));
+milliseconds Registration::RandomUpTo(milliseconds limit) {
+  std::uniform_int_distribution<int64_t> distribution(0, limit.count());
+  return milliseconds(distribution(random_));
 }
 
 void Registration::Tick(TimePoint now) {
-  if (now < due_) return;
-  due_ = TimePoint::max();
+  if (now < due_at_) return;
+  due_at_ = TimePoint::max();
   if (step_ == Step::kGrant) {
-    port_->GrantLease(timing_.ttl);
+    port_->GrantLease(timing_.lease_ttl);
   } else {
     port_->RenewLease(lease_);
   }
--- a/src/libcore/membership/roster.cc
+++ b/src/libcore/membership/roster.cc
@@ -9,18 +9,18 @@
 namespace ryefold::core::membership {
 namespace {
 
-/// Instances kept in a worked-out order.
-constexpr size_t kRanks = 16;
-/// With more instances changed than this all orders are worked out anew.
-constexpr size_t kManyChanged = 32;
+/// Maximum number of instances in a cached order.
+constexpr size_t kCachedRanks = 16;
+/// If more instances have changed, all cached orders are dropped.
+constexpr size_t kMaxIncrementalChanges = 32;
 
-uint64_t HashOf(const std::string& name) {
+uint64_t HashName(const std::string& name) {
   return XXH64(name.data(), name.size(), 0);
 }
 
 uint64_t Score(uint64_t group, uint64_t instance) {
-  const std::array<uint64_t, 2> both = {group, instance};
-  return XXH64(both.data(), sizeof(both), 0);
+  const std::array<uint64_t, 2> hashes = {group, instance};
+  return XXH64(hashes.data(), sizeof(hashes), 0);
 }
 
 }  // namespace
@@ -35,7 +35,7 @@
   for (const Member& member : members) members_[member.name] = member;
   for (const auto& [name, member] : members_) {
     if (member.kind == MemberKind::kInstance) {
-      instances_.push_back({&member, HashOf(name)});
+      instances_.push_back({&member, HashName(name)});
     } else {
       databases_[member.group].push_back(name);
     }
@@ -43,10 +43,10 @@
   std::erase_if(suspicions_, [this](const auto& entry) {
     return !members_.contains(entry.first);
   });
-  DropStale(before);
+  DropStaleOrders(before);
 }
 
-void Roster::DropStale(const std::map<std::string, Member>& before) {
+void Roster::DropStaleOrders(const std::map<std::string, Member>& before) {
   std::vector<Candidate> added;
   std::vector<std::string> changed;
   for (const Candidate& candidate : instances_) {
@@ -56,42 +56,44 @@
     changed.push_back(candidate.member->name);
   }
   for (const auto& [name, member] : before) {
-    const bool instance = member.kind == MemberKind::kInstance;
-    if (instance && !members_.contains(name)) changed.push_back(name);
+    const bool is_instance = member.kind == MemberKind::kInstance;
+    if (is_instance && !members_.contains(name)) changed.push_back(name);
   }
-  if (changed.size() > kManyChanged) {
+  if (changed.size() > kMaxIncrementalChanges) {
     orders_.clear();
     return;
   }
   std::erase_if(orders_, [&](const auto& entry) {
     const std::string& group = entry.first;
     const Order& order = entry.second;
-    const auto holds = [&](const std::string& name) {
+    const auto in_order = [&](const std::string& name) {
       return std::find(order.names.begin(), order.names.end(), name) !=
              order.names.end();
     };
-    return order.names.size() < kRanks || RegionOf(group) != order.region ||
-           std::any_of(changed.begin(), changed.end(), holds) ||
-           std::any_of(added.begin(), added.end(), [&](const Candidate& one) {
-             return Touches(group, order, one);
+    return order.names.size() < kCachedRanks ||
+           KeeperRegion(group) != order.region ||
+           std::any_of(changed.begin(), changed.end(), in_order) ||
+           std::any_of(added.begin(), added.end(), [&](const Candidate& each) {
+             return IsAffectedBy(group, order, each);
            });
   });
 }
 
-bool Roster::Touches(const std::string& group, const Order& order,
-                     const Candidate& added) const {
+bool Roster::IsAffectedBy(const std::string& group, const Order& order,
+                          const Candidate& added) const {
   const Member& last = members_.at(order.names.back());
   if (last.state != MemberState::kLive) return true;
   if (added.member->state != MemberState::kLive) return false;
-  const uint64_t hash = HashOf(group);
-  return Score(hash, added.hash) >= Score(hash, HashOf(last.name));
+  const uint64_t hash = HashName(group);
+  return Score(hash, added.hash) >= Score(hash, HashName(last.name));
 }
 
 void Roster::Suspect(TimePoint now, const std::string& instance) {
   Suspicion& suspicion = suspicions_[instance];
-  suspicion.length = std::clamp(suspicion.length * 2, timing_.suspicion,
-                                timing_.suspicion_max);
-  suspicion.until = now + suspicion.length;
+  suspicion.duration =
+      std::clamp(suspicion.duration * 2, timing_.suspicion_time,
+                 timing_.max_suspicion_time);
+  suspicion.until = now + suspicion.duration;
 }
 
 void Roster::Trust(const std::string& instance) { suspicions_.erase(instance); }
@@ -101,35 +103,35 @@
   return found != suspicions_.end() && found->second.until > now;
 }
 
-std::string Roster::RegionOf(const std::string& group) const {
+std::string Roster::KeeperRegion(const std::string& group) const {
   const auto found = databases_.find(group);
   if (found == databases_.end()) return {};
   std::map<std::string, size_t> counts;
   for (const std::string& name : found->second) {
     ++counts[members_.at(name).region];
   }
-  // Of equal regions the first by name, so that all instances agree.
+  // A tie goes to the first region by name, so that all instances agree.
   const auto most = std::max_element(
       counts.begin(), counts.end(),
       [](const auto& a, const auto& b) { return a.second < b.second; });
   const std::string& region = most->first;
-  const bool staffed = std::any_of(
+  const bool has_live_instance = std::any_of(
       instances_.begin(), instances_.end(), [&](const Candidate& candidate) {
         return candidate.member->region == region &&
                candidate.member->state == MemberState::kLive;
       });
-  return staffed ? region : std::string();
+  return has_live_instance ? region : std::string();
 }
 
-std::vector<std::string> Roster::Sorted(const std::string& group,
-                                        size_t most) const {
+std::vector<std::string> Roster::ComputeOrder(const std::string& group,
+                                              size_t max_count) const {
   struct Scored {
     bool live = false;
     uint64_t score = 0;
     const Member* member = nullptr;
   };
-  const std::string region = RegionOf(group);
-  const uint64_t hash = HashOf(group);
+  const std::string region = KeeperRegion(group);
+  const uint64_t hash = HashName(group);
   std::vector<Scored> scored;
   scored.reserve(instances_.size());
   for (const Candidate& candidate : instances_) {
@@ -138,7 +140,7 @@
     scored.push_back({member.state == MemberState::kLive,
                       Score(hash, candidate.hash), &member});
   }
-  const size_t count = std::min(most, scored.size());
+  const size_t count = std::min(max_count, scored.size());
   std::partial_sort(scored.begin(),
                     scored.begin() + static_cast<ptrdiff_t>(count),
                     scored.end(), [](const Scored& a, const Scored& b) {
@@ -157,8 +159,8 @@
   const auto found = orders_.find(group);
   if (found != orders_.end()) return found->second.names;
   Order& order = orders_[group];
-  order.region = RegionOf(group);
-  order.names = Sorted(group, kRanks);
+  order.region = KeeperRegion(group);
+  order.names = ComputeOrder(group, kCachedRanks);
   return order.names;
 }
 
@@ -166,13 +168,13 @@
                                         const std::string& group) const {
   std::vector<std::string> names = Intended(group);
   if (suspicions_.empty()) return names;
-  const auto trusted = [&](const std::string& name) {
+  const auto not_suspected = [&](const std::string& name) {
     return !Suspected(now, name);
   };
-  if (std::none_of(names.begin(), names.end(), trusted)) {
-    names = Sorted(group, instances_.size());
+  if (std::none_of(names.begin(), names.end(), not_suspected)) {
+    names = ComputeOrder(group, instances_.size());
   }
-  std::stable_partition(names.begin(), names.end(), trusted);
+  std::stable_partition(names.begin(), names.end(), not_suspected);
   return names;
 }
 
@@ -182,21 +184,21 @@
 }
 
 std::vector<Member> Roster::DatabasesOf(const std::string& group) const {
-  std::vector<Member> all;
+  std::vector<Member> databases;
   const auto found = databases_.find(group);
-  if (found == databases_.end()) return all;
+  if (found == databases_.end()) return databases;
   for (const std::string& name : found->second) {
-    all.push_back(members_.at(name));
+    databases.push_back(members_.at(name));
   }
-  return all;
+  return databases;
 }
 
 std::vector<Member> Roster::instances() const {
-  std::vector<Member> all;
+  std::vector<Member> listed;
   for (const Candidate& candidate : instances_) {
-    all.push_back(*candidate.member);
+    listed.push_back(*candidate.member);
   }
-  return all;
+  return listed;
 }
 
 }  // namespace ryefold::core::membership
--- a/testsuite/membership_keepers/keepers_test.cc
+++ b/testsuite/membership_keepers/keepers_test.cc
@@ -1,5 +1,5 @@
-// Who keeps a group while instances fail, freeze, restart and lose each other,
-// and what that costs requests. Requests are counted, never timed by a clock.
+// Assignment of groups to keepers while instances fail, freeze, restart and are
+// partitioned, and its effect on requests. All times are virtual.
 
 #include <gtest/gtest.h>
 
@@ -25,10 +25,10 @@
     }
     fleet_->SetGroups(groups_);
     ASSERT_TRUE(fleet_->RunUntil([this] { return fleet_->AllReady(); }, 5s));
-    ASSERT_TRUE(fleet_->RunUntil([this] { return OneEach(); }, 10s));
+    ASSERT_TRUE(fleet_->RunUntil([this] { return HasOneKeeperEach(); }, 10s));
     traffic_ = std::make_unique<Traffic>(fleet_.get());
   }
-  bool OneEach() const {
+  bool HasOneKeeperEach() const {
     return std::all_of(groups_.begin(), groups_.end(), [&](const auto& group) {
       return fleet_->KeepersOf(group).size() == 1;
     });
@@ -36,7 +36,7 @@
   size_t KeeperOf(const std::string& group) const {
     return fleet_->KeepersOf(group).front();
   }
-  /// Ranked first and second, as a list without suspicion says.
+  /// Returns the instance at `place` in rank, without regard to suspicions.
   size_t Intended(const std::string& group, size_t place) {
     return fleet_->IndexOf(fleet_->at(0).roster->Intended(group)[place]);
   }
@@ -60,8 +60,8 @@
   EXPECT_EQ(traffic_->delayed, 0U);
 }
 
-// The keeper of a group dies and the list goes on naming it. Its successor
-// finds out by its own check, at the latest a second later.
+// The keeper of a group crashes and stays on the list. Its successor detects
+// the failure by its own check within about 1 s.
 TEST_F(Keepers, SuccessorTakesOverFromADeadKeeper) {
   Begin();
   const size_t keeper = KeeperOf("g0");
@@ -74,9 +74,9 @@
   EXPECT_EQ(traffic_->refused, 0U);
 }
 
-// The keeper freezes: connections stay open, nothing answers. The successor
-// must not wait for the list; once the frozen one wakes, it gets the group
-// back, and for a moment there are two, which costs connections only.
+// The keeper freezes: its connections stay open but nothing answers. The
+// successor must not wait for the list. When the keeper resumes it gets the
+// group back; both keep it for a short time, which only costs connections.
 TEST_F(Keepers, FrozenKeeperIsReplacedAndGetsTheGroupBack) {
   Begin();
   const size_t keeper = KeeperOf("g0");
@@ -93,8 +93,8 @@
       15s));
 }
 
-// One check gets lost or comes late, as on a busy instance. Moving the group
-// for that would reopen its connections for nothing.
+// A single check is lost or late, as on a busy instance. Moving the group would
+// reopen its connections without need.
 TEST_F(Keepers, OneLateAnswerMovesNothing) {
   Begin();
   size_t moves = 0;
@@ -109,8 +109,9 @@
   EXPECT_EQ(moves, 0U);
 }
 
-// Keeper and successor stand in one failure domain and are lost with it.
-// Somebody must notice although nobody is left who watches the keeper.
+// Keeper and successor are in the same failure domain and are lost with it.
+// Another instance must detect the loss although the successor no longer
+// checks.
 TEST_F(Keepers, LostFailureDomainLeavesNoGroupUnserved) {
   Begin();
   for (size_t domain = 0; domain < 3; ++domain) {
@@ -123,8 +124,8 @@
   }
 }
 
-// The same without a request that would wake anybody: the second watcher finds
-// out by itself, unless the third in rank is lost as well.
+// The same without any request: the first instance in rank outside the domain
+// detects the loss by its own checks, unless the third in rank is lost as well.
 TEST_F(Keepers, SecondWatcherNoticesALostFailureDomain) {
   Begin();
   size_t both = 0;
@@ -147,10 +148,11 @@
   EXPECT_GT(both, 0U);
 }
 
-// A switch fails and a whole failure domain falls silent, among it the first
-// three and more in rank of some groups, the list says nothing of it and no
-// request comes. Callers of such a group would find it unserved minutes later.
-TEST_F(Keepers, ALongRunOfSilentOnesInRankIsNoticedFromOutside) {
+// A whole failure domain becomes unreachable, with at least the first three in
+// rank of some groups. The list does not show it and no request arrives. Unless
+// an instance outside the domain detects it, such a group stays unserved for
+// minutes.
+TEST_F(Keepers, ManyUnreachableInstancesInRankAreDetectedFromOutside) {
   FleetOptions options;
   options.instances = 90;
   Begin(options);
@@ -158,7 +160,7 @@
     groups_.push_back("g" + std::to_string(g));
   }
   fleet_->SetGroups(groups_);
-  ASSERT_TRUE(fleet_->RunUntil([this] { return OneEach(); }, 10s));
+  ASSERT_TRUE(fleet_->RunUntil([this] { return HasOneKeeperEach(); }, 10s));
   std::optional<size_t> lost;
   for (const std::string& group : groups_) {
     const size_t domain = Intended(group, 0) % 3;
@@ -178,8 +180,8 @@
   }
 }
 
-// The first three in rank die at once and the list goes on naming them. The
-// fourth does not watch any of them; an entry's request makes it look.
+// The first three in rank crash at once and stay on the list. The fourth checks
+// none of them until it receives a request of an entry.
 TEST_F(Keepers, FourthInRankServesWhenThreeAreLost) {
   FleetOptions options;
   options.instances = 12;
@@ -188,8 +190,8 @@
   for (size_t place = 0; place < 3; ++place) {
     lost.push_back(Intended("g0", place));
   }
-  // One that stands further down, so that the fourth learns of the loss by
-  // its requests only.
+  // The entry is further down in rank, so that the fourth detects the loss only
+  // because of its requests.
   const size_t entry = Intended("g0", 7);
   for (const size_t i : lost) fleet_->Kill(i);
   for (int i = 0; i < 20; ++i) {
@@ -200,10 +202,10 @@
   EXPECT_LE(traffic_->worst, 500ms);
 }
 
-// Half of the instances fall silent at once, six of them first in rank for a
-// group. Once somebody has taken it over it must not give it up again because
-// its suspicion of some of the six runs out: nobody else watches.
-TEST_F(Keepers, AGroupTakenOverFromSixSilentOnesStaysKept) {
+// Half of the instances become unreachable at once, among them the first six in
+// rank of a group. The instance that takes the group over must not release it
+// when its suspicion of some of the six expires: no other instance checks them.
+TEST_F(Keepers, AGroupTakenOverFromSixUnreachableInstancesStaysKept) {
   FleetOptions options;
   options.instances = 12;
   Begin(options);
@@ -228,9 +230,9 @@
   }
 }
 
-// A new instance comes first in rank for some groups and needs a while to
-// learn what is in force. Those that kept the groups go on until it serves
-// them; giving up at once, they would leave the groups to nobody.
+// A new instance is first in rank for some groups and needs time to load the
+// configuration. The previous keepers continue until it serves the groups;
+// otherwise the groups would be unserved meanwhile.
 TEST_F(Keepers, NewInstanceTakesOverOnlyOnceItServes) {
   Begin();
   const size_t keeper = Intended("g0", 0);
@@ -249,31 +251,32 @@
       10s));
 }
 
-// A leaving instance is asked by an entry that has not heard of it. Taking the
-// group again, it would take on requests that its end cuts off.
+// A leaving instance receives a request of an entry that still lists it as
+// live. If it kept the group again, its shutdown would interrupt the requests
+// it accepts.
 TEST_F(Keepers, LeavingInstanceKeepsNothingAnyMore) {
   Begin();
   const size_t keeper = KeeperOf("g0");
   fleet_->Leave(keeper);
   EXPECT_TRUE(fleet_->at(keeper).duties->kept().empty());
   EXPECT_FALSE(fleet_->Ask(keeper, "g0"));
-  EXPECT_TRUE(fleet_->RunUntil([this] { return OneEach(); }, 1s));
+  EXPECT_TRUE(fleet_->RunUntil([this] { return HasOneKeeperEach(); }, 1s));
 }
 
-// The list is minutes behind: dead instances stay on it, new ones are missing.
+// The list is minutes out of date: it still has crashed instances.
 TEST_F(Keepers, LaggingListRefusesNothing) {
   Begin();
   fleet_->Kill(0);
   fleet_->Kill(1);
   RunTraffic(60s);
   EXPECT_EQ(traffic_->refused, 0U);
-  // Once each suspicion has run out, one request tries the dead one again and
-  // is refused by its address at once.
+  // After each suspicion expires, one request tries the crashed instance again;
+  // its connection is refused immediately.
   EXPECT_EQ(traffic_->delayed, 0U);
 }
 
-// The list names instances that do not exist, first in order for some group,
-// and leaves out one that does.
+// The list contains an instance that does not run, which is first in rank for
+// some groups, and lacks one that does.
 TEST_F(Keepers, WrongListRefusesNothing) {
   Begin();
   std::vector<Member> wrong = fleet_->Everybody();
@@ -288,8 +291,8 @@
   }
 }
 
-// Every instance is replaced, one after the other, as on the day of a release.
-// Each announces that it leaves, hands over and stops.
+// All instances are replaced one after the other, as in a rolling upgrade. Each
+// announces that it leaves, hands over its groups and stops.
 TEST_F(Keepers, AllReplacedInARowWithoutARefusal) {
   Begin();
   traffic_->Start(5ms, 60s, groups_);
@@ -304,10 +307,10 @@
   fleet_->Run(20s);
   EXPECT_EQ(traffic_->refused, 0U);
   EXPECT_LE(traffic_->worst, 200ms);
-  EXPECT_TRUE(fleet_->RunUntil([this] { return OneEach(); }, 10s));
+  EXPECT_TRUE(fleet_->RunUntil([this] { return HasOneKeeperEach(); }, 10s));
 }
 
-// Every instance crashes in a row and restarts.
+// All instances crash and restart one after the other.
 TEST_F(Keepers, AllCrashInARow) {
   Begin();
   traffic_->Start(5ms, 60s, groups_);
@@ -319,12 +322,12 @@
   }
   fleet_->Run(20s);
   EXPECT_EQ(traffic_->refused, 0U);
-  EXPECT_TRUE(fleet_->RunUntil([this] { return OneEach(); }, 10s));
+  EXPECT_TRUE(fleet_->RunUntil([this] { return HasOneKeeperEach(); }, 10s));
 }
 
-// Successor and keeper cannot reach each other, all others reach both. Both
-// keep the group for as long as the cut lasts; entries stay with the intended
-// one. Afterwards the successor gives it back.
+// Successor and keeper cannot reach each other, but all others reach both. Both
+// keep the group during the partition, and entries use the intended keeper.
+// Afterwards the successor releases the group.
 TEST_F(Keepers, TwoKeepersForLongRefuseNothing) {
   Begin();
   const size_t keeper = Intended("g0", 0);
@@ -339,8 +342,8 @@
       30s));
 }
 
-// One entry cannot reach the keeper, which everybody else reaches. Its callers
-// are served by the next in rank instead of being refused.
+// One entry cannot reach the keeper, which all others reach. Its callers are
+// served by the next instance in rank instead of being refused.
 TEST_F(Keepers, AnEntryCutOffFromTheKeeperIsServedByTheNext) {
   Begin();
   const size_t keeper = Intended("g0", 0);
@@ -358,9 +361,9 @@
   EXPECT_EQ(fleet_->KeepersOf("g0"), std::vector<size_t>{keeper});
 }
 
-// Two regions lose each other for ten minutes. Each group stays with the
-// region that holds most of its databases; the other one keeps nothing of it.
-TEST_F(Keepers, CutRegionsDoNotFightOverAGroup) {
+// Two regions are partitioned for ten minutes. Each group stays with the region
+// that has most of its databases; instances of the other region do not keep it.
+TEST_F(Keepers, PartitionedRegionsDoNotMoveGroups) {
   FleetOptions options;
   options.regions = 2;
   options.domains = 5;
@@ -377,7 +380,7 @@
   }
   fleet_->Run(600s);
   EXPECT_EQ(moves, 0U);
-  EXPECT_TRUE(OneEach());
+  EXPECT_TRUE(HasOneKeeperEach());
 }
 
 }  // namespace
--- a/testsuite/membership_registration/registration_test.cc
+++ b/testsuite/membership_registration/registration_test.cc
@@ -1,4 +1,4 @@
-// A fleet's entries in the store, in virtual time.
+// Registration of a fleet in the store, in virtual time.
 
 #include "ryefold/core/membership/registration.h"
 
@@ -20,24 +20,24 @@
 using core::membership::StoreOutcome;
 
 constexpr size_t kInstances = 195;
-/// The store's answer.
-constexpr milliseconds kAnswer{4};
-/// How long others count an instance whose entry is gone.
-constexpr milliseconds kCounted{4000};
+/// Latency of the store.
+constexpr milliseconds kStoreLatency{4};
+/// How long other instances still count an instance without a record.
+constexpr milliseconds kRecordGraceTime{4000};
 
-/// Leases and entries; calls fail at once while the store is down.
+/// Leases and records; while the store is down, calls have no effect and fail.
 struct LeaseStore {
   bool down = false;
   uint64_t calls = 0;
-  LeaseId last = 0;
-  std::map<LeaseId, TimePoint> ends;
+  LeaseId last_lease = 0;
+  std::map<LeaseId, TimePoint> lease_ends;
   std::map<size_t, LeaseId> entries;
 
-  size_t Listed(TimePoint now) const {
+  size_t CountListed(TimePoint now) const {
     size_t count = 0;
     for (const auto& [instance, lease] : entries) {
-      const auto end = ends.find(lease);
-      count += end != ends.end() && now < end->second ? 1 : 0;
+      const auto end = lease_ends.find(lease);
+      count += end != lease_ends.end() && now < end->second ? 1 : 0;
     }
     return count;
   }
@@ -60,9 +60,9 @@
     Call([this, ttl](bool reached) {
       std::optional<LeaseId> lease;
       if (reached) {
-        lease = ++store_->last;
+        lease = ++store_->last_lease;
         ttl_ = ttl;
-        store_->ends[*lease] = clock_->now() + ttl;
+        store_->lease_ends[*lease] = clock_->now() + ttl;
       }
       registration_.LeaseGranted(clock_->now(), lease);
     });
@@ -77,27 +77,27 @@
     Call([this, lease](bool reached) {
       const StoreOutcome outcome = Outcome(reached, lease);
       if (outcome == StoreOutcome::kDone) {
-        store_->ends[lease] = clock_->now() + ttl_;
+        store_->lease_ends[lease] = clock_->now() + ttl_;
       }
       registration_.LeaseRenewed(clock_->now(), outcome);
     });
   }
   void EndLease(LeaseId lease) override {
     Call([this, lease](bool reached) {
-      if (reached) store_->ends.erase(lease);
+      if (reached) store_->lease_ends.erase(lease);
     });
   }
 
  private:
   StoreOutcome Outcome(bool reached, LeaseId lease) const {
     if (!reached) return StoreOutcome::kUnknown;
-    return store_->ends.count(lease) > 0 ? StoreOutcome::kDone
-                                         : StoreOutcome::kRefused;
+    return store_->lease_ends.count(lease) > 0 ? StoreOutcome::kDone
+                                               : StoreOutcome::kRefused;
   }
   template <class Done>
   void Call(const Done& done) {
     ++store_->calls;
-    clock_->After(kAnswer, [this, done] { done(!store_->down); });
+    clock_->After(kStoreLatency, [this, done] { done(!store_->down); });
   }
   void Tick() {
     registration_.Tick(clock_->now());
@@ -121,7 +121,7 @@
     Run(milliseconds(1000));
   }
   void Run(milliseconds span) { clock_.RunUntil(clock_.now() + span); }
-  size_t Listed() const { return store_.Listed(clock_.now()); }
+  size_t CountListed() const { return store_.CountListed(clock_.now()); }
 
   VirtualClock clock_;
   LeaseStore store_;
@@ -129,39 +129,39 @@
 };
 
 TEST_F(RegistrationTest, ListsAllAndCostsFewCalls) {
-  EXPECT_EQ(Listed(), kInstances);
+  EXPECT_EQ(CountListed(), kInstances);
   EXPECT_EQ(store_.calls, 2 * kInstances);
   const uint64_t before = store_.calls;
   for (int minute = 0; minute < 5; ++minute) {
     Run(std::chrono::minutes(1));
-    EXPECT_EQ(Listed(), kInstances);
+    EXPECT_EQ(CountListed(), kInstances);
   }
-  // A renewal each 16 to 20 s.
+  // One renewal every 16 to 20 s.
   EXPECT_LE(store_.calls - before, kInstances * 5 * 4);
 }
 
-// The store is away for five seconds and has lost all leases when it returns.
-// If each instance pressed it every half second, it would get hundreds of calls
-// a second just then; if they waited long, others would stop counting them and
-// who keeps which group would change twice.
-TEST_F(RegistrationTest, ComesBackInTimeAfterAnOutageAndPressesLittle) {
+// The store is down for five seconds and returns without any lease. If each
+// instance retried every 500 ms, it would get hundreds of calls per second; if
+// instances waited long, others would drop them and the keepers of groups would
+// change twice.
+TEST_F(RegistrationTest, RegistersInTimeAfterAnOutageWithFewCalls) {
   Run(std::chrono::seconds(10));
   store_.down = true;
   uint64_t before = store_.calls;
   Run(milliseconds(5400));
   EXPECT_LE(store_.calls - before, 2 * kInstances);
-  store_.ends.clear();
+  store_.lease_ends.clear();
   store_.down = false;
   before = store_.calls;
   for (const auto& instance : instances_) {
     instance->registration().EntryLost(clock_.now());
   }
-  Run(kCounted);
-  EXPECT_EQ(Listed(), kInstances);
+  Run(kRecordGraceTime);
+  EXPECT_EQ(CountListed(), kInstances);
   EXPECT_LE(store_.calls - before, 4 * kInstances);
 }
 
-// The fleet starts while the store is away.
+// Instances start while the store is down.
 TEST_F(RegistrationTest, RegistersSoonAfterAStartWithoutAStore) {
   store_.down = true;
   std::vector<std::unique_ptr<RegisteredInstance>> late;
@@ -170,23 +170,23 @@
         std::make_unique<RegisteredInstance>(&clock_, &store_, 1000 + i));
   }
   Run(std::chrono::seconds(5));
-  EXPECT_EQ(Listed(), kInstances);
+  EXPECT_EQ(CountListed(), kInstances);
   store_.down = false;
-  Run(kCounted);
-  EXPECT_EQ(Listed(), 2 * kInstances);
+  Run(kRecordGraceTime);
+  EXPECT_EQ(CountListed(), 2 * kInstances);
 }
 
-// An instance that drains takes its entry away at once and does not bring it
-// back, also when a call was under way.
+// An instance that drains removes its record at once and does not restore it,
+// even if a call was in flight.
 TEST_F(RegistrationTest, StaysAwayOnceItHasLeft) {
   instances_[0]->registration().Leave();
   instances_[0]->registration().EntryLost(clock_.now());
   Run(milliseconds(10));
-  EXPECT_EQ(Listed(), kInstances - 1);
+  EXPECT_EQ(CountListed(), kInstances - 1);
   RegisteredInstance late(&clock_, &store_, 2000);
   late.registration().Leave();
   Run(std::chrono::minutes(2));
-  EXPECT_EQ(Listed(), kInstances - 1);
+  EXPECT_EQ(CountListed(), kInstances - 1);
 }
 
 }  // namespace
--- a/testsuite/membership_roster/roster_test.cc
+++ b/testsuite/membership_roster/roster_test.cc
@@ -35,8 +35,8 @@
 
 std::string Group(size_t i) { return "g" + std::to_string(i); }
 
-// An instance dies. Only the groups that it kept may move: each move costs
-// connections that are reopened at 10 to 30 ms each while callers wait.
+// An instance is lost. Only the groups that it kept may move: each move reopens
+// connections at 10 to 30 ms each while callers wait.
 RC_GTEST_PROP(Roster, ALostInstanceMovesOnlyItsOwnGroups, ()) {
   const auto count = *rc::gen::inRange<size_t>(2, 60);
   const auto lost = *rc::gen::inRange<size_t>(0, count);
@@ -55,26 +55,26 @@
   }
 }
 
-// Orders are kept from one list to the next where nothing touches them. Kept
-// wrongly, this instance would send a group's requests to another keeper than
-// all others do.
-RC_GTEST_PROP(Roster, OrdersKeptAreThoseWorkedOutAnew, ()) {
+// Cached orders that a new list does not affect are reused. A stale order would
+// make this instance send a group's requests to a different keeper than all
+// others.
+RC_GTEST_PROP(Roster, CachedOrdersEqualRecomputedOnes, ()) {
   std::vector<Member> members = Instances(30, 2);
   for (const char* name : {"a", "b", "c"}) {
     members.push_back(DatabaseIn(name, "r0"));
   }
-  Roster kept;
+  Roster cached;
   const auto steps = *rc::gen::container<std::vector<size_t>>(
       12, rc::gen::inRange<size_t>(0, 1000));
   for (const size_t step : steps) {
     Member& member = members[step % members.size()];
-    const size_t what = step / members.size() % 4;
-    if (what == 0) {
+    const size_t change = step / members.size() % 4;
+    if (change == 0) {
       member.state = member.state == MemberState::kLive ? MemberState::kLeaving
                                                         : MemberState::kLive;
-    } else if (what == 1) {
+    } else if (change == 1) {
       member.region = member.region == "r0" ? "r1" : "r0";
-    } else if (what == 2 && members.size() > 20) {
+    } else if (change == 2 && members.size() > 20) {
       members.erase(members.begin() +
                     static_cast<ptrdiff_t>(step % members.size()));
     } else {
@@ -82,11 +82,11 @@
       added.name = "n" + std::to_string(step);
       members.push_back(added);
     }
-    kept.SetMembers(members);
+    cached.SetMembers(members);
     Roster fresh;
     fresh.SetMembers(members);
     for (const std::string& group : {std::string("g"), Group(1), Group(2)}) {
-      RC_ASSERT(kept.Intended(group) == fresh.Intended(group));
+      RC_ASSERT(cached.Intended(group) == fresh.Intended(group));
     }
   }
 }
@@ -94,15 +94,15 @@
 TEST(Roster, GroupsAreSpreadEvenly) {
   Roster roster;
   roster.SetMembers(Instances(100));
-  std::map<std::string, int> kept;
+  std::map<std::string, int> counts;
   constexpr int kGroups = 2000;
-  for (size_t i = 0; i < kGroups; ++i) ++kept[roster.Intended(Group(i))[0]];
+  for (size_t i = 0; i < kGroups; ++i) ++counts[roster.Intended(Group(i))[0]];
   int most = 0;
-  for (const auto& [name, count] : kept) most = std::max(most, count);
+  for (const auto& [name, count] : counts) most = std::max(most, count);
   EXPECT_LE(most, 40);  // twice the mean
 }
 
-TEST(Roster, SuspectedLastAndBackAfterAWhile) {
+TEST(Roster, SuspectedInstancesAreLastUntilTheSuspicionExpires) {
   Roster roster;
   roster.SetMembers(Instances(8));
   const std::string first = roster.Intended("g")[0];
@@ -117,9 +117,10 @@
   EXPECT_EQ(roster.Ranked(kNow + 15s, "g").front(), first);
 }
 
-// The entry's own network is broken, so it suspects everybody. It must still
-// have somebody to ask once the network is back.
-TEST(Roster, SuspectingEverybodyLeavesTheOrder) {
+// The entry's own network fails, so it suspects all instances. The order must
+// stay complete, so that the entry can send requests once the network works
+// again.
+TEST(Roster, SuspectingAllInstancesLeavesTheOrder) {
   Roster roster;
   roster.SetMembers(Instances(40));
   const std::vector<std::string> order = roster.Intended("g");
@@ -143,9 +144,9 @@
   EXPECT_EQ(roster.Intended("g").back(), first);
 }
 
-// Two regions lose each other for minutes. In the one that holds one database
-// of three, an instance that kept the group would ask that database to adopt
-// new terms, and the group would have no primary once they meet again.
+// Two regions are partitioned for minutes. An instance that kept the group in
+// the region with one database of three would make that database adopt new
+// terms, and the group would have no primary when the partition ends.
 TEST(Roster, OnlyTheRegionWithMostDatabasesKeepsAGroup) {
   std::vector<Member> members = Instances(20, 2);
   members.push_back(DatabaseIn("a", "r1"));
