--- a/src/include/ryefold/core/routing/router.h
+++ b/src/include/ryefold/core/routing/router.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Chooses the database that serves a read.
+// Routing of reads to databases, and bounds for the age of replica data.
 
 #include <chrono>
 #include <optional>
@@ -11,45 +11,49 @@
 
 namespace ryefold::core::routing {
 
-/// Age of data about which nothing is known.
+/// Value for an age that cannot be bounded.
 inline constexpr std::chrono::milliseconds kUnknownAge =
     std::chrono::milliseconds::max();
 
-/// Marks an `AgeTracker` keeps at most. Old ones are thinned out so that the
-/// rest bound an age within an eighth; what is dropped rounds ages up.
-inline constexpr size_t kMaxMarks = 512;
+/// Maximum number of samples in an `AgeTracker`. Old samples are dropped such
+/// that the rest bound an age within one eighth; dropping rounds ages up.
+inline constexpr size_t kMaxSamples = 512;
 
-/// What the router knows of one database.
+/// State of one database, as input to routing.
 struct Candidate {
   std::string database;
   std::string failure_domain;
   bool primary = false;
-  /// Answers, is not leaving, follows the present term.
+  /// Whether it answers, is not leaving and has adopted the current term.
   bool usable = false;
   bool has_free_slot = false;
+  /// Last position in its log.
   LogPosition last;
   std::vector<TermStart> term_starts;
-  /// Upper bound of the age of what it serves now; rounded up.
+  /// Upper bound of the age of the data that it serves now; rounded up.
   std::chrono::milliseconds age{0};
-  /// When it is expected to reach the session's position, if it is behind.
+  /// When it is expected to reach the session's position; nullopt if it has
+  /// reached it or no estimate exists.
   std::optional<TimePoint> catches_up_at;
-  /// Statements running on it.
+  /// Number of statements in flight.
   uint32_t running = 0;
 };
 
-/// What a read needs.
+/// Requirements of a read.
 struct ReadNeeds {
+  /// Newest position that the session has read or written.
   LogPosition seen;
   std::chrono::milliseconds max_age{0};
+  /// Preferred failure domain.
   std::string near;
   TimePoint deadline;
 };
 
 enum class RouteKind : uint8_t {
-  kServe,  ///< Send it to `database` now.
-  kWait,   ///< A replica is about to catch up; look again at `look_again`.
-  kBusy,   ///< Databases that could serve it have no free slot.
-  kNone,   ///< No database can serve it at present.
+  kServe,  ///< Send the read to `database` now.
+  kWait,   ///< A replica will catch up soon; route again at `look_again`.
+  kBusy,   ///< The databases that could serve the read have no free slot.
+  kNone,   ///< No database can serve the read at present.
 };
 
 struct Route {
@@ -58,53 +62,52 @@
   TimePoint look_again;
 };
 
-/// Prefers replicas, then the near failure domain, then the least busy. A read
-/// that accepts age 0 may go to a replica only if that replica is known level
-/// with what a confirmed primary had when the read arrived, which the caller
-/// expresses through `Candidate::age`. A primary with a free slot serves at
-/// once what no replica can serve at once: waiting would not beat it.
+/// Chooses the database for a read. Prefers replicas, then databases in the
+/// preferred failure domain, then those with the fewest statements in flight.
+/// A read with max_age 0 may use a replica only if the replica has everything
+/// that a confirmed primary had when the read arrived; the caller expresses
+/// this through `Candidate::age`. If no replica can serve the read now, a
+/// primary with a free slot does, since waiting for a replica is not faster.
 ///
-/// After kWait or kBusy, a slot that becomes free or a database that moves on
-/// is a reason to look again as well.
+/// After kWait or kBusy, route again also when a slot becomes free or the
+/// position of a database advances.
 Route ChooseForRead(TimePoint now, const ReadNeeds& needs,
                     const std::vector<Candidate>& candidates);
 
-/// Keeps, for one database group, until when the primary was known not to be
-/// past each index, so that the age of a replica can be bounded from above.
+/// Bounds the age of replica data from above. Records, for one database group,
+/// the last time at which the primary was known not to be past each position.
 ///
-/// Counting from the moment at which the primary was first known *past* an
-/// index would not be a bound: the write may be older than the news of it, and
-/// a keeper that has just started would take a replica that is an hour behind
-/// for fresh. A caller would notice yesterday's data at a gate that accepts
-/// seconds.
+/// The time at which the primary was first seen *past* a position gives no
+/// upper bound: the write may be older than its observation, and a newly
+/// started keeper would consider a replica fresh that is an hour behind.
 class AgeTracker {
  public:
-  /// The primary, confirmed under `term`, was seen at `last`. To be called
-  /// for every answer of the primary, also when nothing has changed.
+  /// Records that the confirmed primary was at position `last`. To be called
+  /// for every answer of the primary, even if its position has not changed.
   void PrimaryAt(TimePoint now, const LogPosition& last);
 
-  /// Upper bound of the age of what a database at `last` serves. Counted from
-  /// when the primary was last known not to be past `last`, at least 1 ms once
-  /// it is past; `kUnknownAge` for what lies before all that is kept.
-  /// `confirmed` is when a majority last confirmed the primary's term: a
-  /// primary that was replaced without knowing it cannot vouch for anything
-  /// later than that. With the arrival of a read as `now` the answer is the
-  /// age as of its arrival.
+  /// Returns an upper bound of the age of the data at position `last`: the time
+  /// since the primary was last known not to be past `last`. The bound is at
+  /// least 1 ms once the primary is past `last`, and `kUnknownAge` for
+  /// positions before the oldest sample. `confirmed` is when a majority last
+  /// confirmed the primary's term; later samples do not count, because they may
+  /// come from a primary that has been replaced unnoticed. With the arrival
+  /// time of a read as `now`, the result is the age at its arrival.
   std::chrono::milliseconds AgeAt(TimePoint now, const LogPosition& last,
                                   TimePoint confirmed) const;
 
-  /// Marks kept; bounded by `kMaxMarks`.
-  size_t marks() const { return marks_.size(); }
+  /// Returns the number of samples, at most `kMaxSamples`.
+  size_t sample_count() const { return samples_.size(); }
 
  private:
-  /// The primary stood at `position`, last known so at `last_known`.
-  struct Mark {
+  /// The primary was at `position`, most recently at `last_seen`.
+  struct Sample {
     LogPosition position;
-    TimePoint last_known;
+    TimePoint last_seen;
   };
-  void Thin(TimePoint now);
+  void ThinSamples(TimePoint now);
 
-  std::vector<Mark> marks_;
+  std::vector<Sample> samples_;
 };
 
 }  // namespace ryefold::core::routing
--- a/src/libcore/routing/router.cc
+++ b/src/libcore/routing/router.cc
@@ -10,14 +10,15 @@
 
 using std::chrono::milliseconds;
 
-/// Shortest wait for a replica. A wait of nothing would make the owner look
-/// again in the same instant, over and over.
-constexpr milliseconds kLeastWait{1};
+/// Minimum wait for a replica. With a wait of 0 the caller would route the read
+/// again immediately, in a busy loop.
+constexpr milliseconds kMinWait{1};
 
-/// Term starts of the newest history that any candidate knows. A position is
-/// cut back by these for all candidates: a replica that has not yet received
-/// the newest term does not know yet what that term discarded.
-const std::vector<TermStart>* NewestStarts(
+/// Returns the term starts of the candidate with the newest term. They limit
+/// the session's position for all candidates, because a replica that has not
+/// received the newest term yet lacks the information which entries that term
+/// discarded.
+const std::vector<TermStart>* NewestTermStarts(
     const std::vector<Candidate>& candidates) {
   static const std::vector<TermStart> none;
   const std::vector<TermStart>* newest = &none;
@@ -31,40 +32,41 @@
   return newest;
 }
 
-bool Fresh(const ReadNeeds& needs, const Candidate& candidate) {
+bool IsFresh(const ReadNeeds& needs, const Candidate& candidate) {
   return candidate.usable && candidate.age <= needs.max_age;
 }
 
-bool Holds(const LogPosition& seen, const Candidate& candidate) {
+bool IsCoveredBy(const LogPosition& seen, const Candidate& candidate) {
   return session::Covers(candidate.last, candidate.term_starts, seen);
 }
 
-/// Whether `a` is to be preferred to `b`, both able to serve.
-bool Better(const ReadNeeds& needs, const Candidate& a, const Candidate& b) {
+/// Returns whether `a` is preferred to `b`, given that both can serve the read.
+bool IsBetter(const ReadNeeds& needs, const Candidate& a, const Candidate& b) {
   const bool a_far = a.failure_domain != needs.near;
   const bool b_far = b.failure_domain != needs.near;
   return std::tuple(a.primary, a_far, a.running) <
          std::tuple(b.primary, b_far, b.running);
 }
 
-/// When the first fresh replica with a free slot is expected to hold what the
-/// session has seen; nothing when none will in time.
-std::optional<TimePoint> CatchUp(TimePoint now, const ReadNeeds& needs,
-                                 const LogPosition& seen,
-                                 const std::vector<Candidate>& candidates) {
+/// Returns when the first fresh replica with a free slot is expected to reach
+/// the session's position. Returns nullopt if none is expected to before the
+/// deadline.
+std::optional<TimePoint> NextCatchUp(TimePoint now, const ReadNeeds& needs,
+                                     const LogPosition& seen,
+                                     const std::vector<Candidate>& candidates) {
   std::optional<TimePoint> first;
   for (const Candidate& candidate : candidates) {
     const auto& expected = candidate.catches_up_at;
     if (candidate.primary || !candidate.has_free_slot) continue;
-    if (!Fresh(needs, candidate) || Holds(seen, candidate)) continue;
-    // An expectation that has passed was wrong and tells nothing.
+    if (!IsFresh(needs, candidate) || IsCoveredBy(seen, candidate)) continue;
+    // An estimate in the past was wrong and is ignored.
     if (!expected.has_value() || *expected <= now) continue;
     if (!first.has_value() || *expected < *first) first = expected;
   }
   if (!first.has_value()) return std::nullopt;
-  const TimePoint look_again = std::max(*first, now + kLeastWait);
-  if (look_again >= needs.deadline) return std::nullopt;
-  return look_again;
+  const TimePoint retry_at = std::max(*first, now + kMinWait);
+  if (retry_at >= needs.deadline) return std::nullopt;
+  return retry_at;
 }
 
 }  // namespace
@@ -72,16 +74,16 @@
 Route ChooseForRead(TimePoint now, const ReadNeeds& needs,
                     const std::vector<Candidate>& candidates) {
   const LogPosition seen =
-      session::CutBack(needs.seen, *NewestStarts(candidates));
+      session::CutBack(needs.seen, *NewestTermStarts(candidates));
   const Candidate* best = nullptr;
   bool busy = false;
   for (const Candidate& candidate : candidates) {
-    if (!Fresh(needs, candidate) || !Holds(seen, candidate)) continue;
+    if (!IsFresh(needs, candidate) || !IsCoveredBy(seen, candidate)) continue;
     if (!candidate.has_free_slot) {
       busy = true;
       continue;
     }
-    if (best == nullptr || Better(needs, candidate, *best)) best = &candidate;
+    if (best == nullptr || IsBetter(needs, candidate, *best)) best = &candidate;
   }
   Route route;
   if (best != nullptr) {
@@ -89,7 +91,7 @@
     route.database = best->database;
     return route;
   }
-  if (const auto at = CatchUp(now, needs, seen, candidates)) {
+  if (const auto at = NextCatchUp(now, needs, seen, candidates)) {
     route.kind = RouteKind::kWait;
     route.look_again = *at;
     return route;
--- a/testsuite/routing_age/age_test.cc
+++ b/testsuite/routing_age/age_test.cc
@@ -13,8 +13,8 @@
 
 TimePoint At(int64_t us) { return TimePoint(microseconds(us)); }
 
-// A primary that writes at known times, so that the true age of each
-// position can be told.
+// A primary that writes at known times, which give the true age of each
+// position.
 class Primary {
  public:
   void Write(int64_t us) { written_.push_back(us); }
@@ -29,10 +29,10 @@
   std::vector<int64_t> written_;
 };
 
-// A keeper hears of a write some time after it was made, or starts when the
-// replica is far behind already. A gate that accepts data of one second would
-// be shown a result that is older than that.
-RC_GTEST_PROP(AgeTracker, NeverTellsLessThanTheTrueAge, ()) {
+// A keeper observes a write some time after it was made, or starts when the
+// replica is already far behind. An age below the true one would let a caller
+// with a limit of one second get older data.
+RC_GTEST_PROP(AgeTracker, NeverReturnsLessThanTheTrueAge, ()) {
   Primary primary;
   AgeTracker tracker;
   int64_t now = 1;
@@ -49,35 +49,35 @@
       seen_at = now;
     }
     const auto index = *rc::gen::inRange<uint64_t>(0, primary.last().index + 1);
-    const int64_t asked = now + *rc::gen::inRange<int64_t>(0, 5000);
-    RC_ASSERT(tracker.AgeAt(At(asked), {1, index}, At(seen_at)) >=
-              primary.TrueAge(asked, index));
+    const int64_t read_at = now + *rc::gen::inRange<int64_t>(0, 5000);
+    RC_ASSERT(tracker.AgeAt(At(read_at), {1, index}, At(seen_at)) >=
+              primary.TrueAge(read_at, index));
   }
 }
 
-// Thousands of writes a second for minutes: the tracker must neither grow
-// without end nor lose so much that reads which accept seconds go to the
-// primary.
-TEST(AgeTracker, StaysSmallAndCloseUnderManyWrites) {
+// With thousands of writes per second for minutes, the tracker must neither
+// grow without bound nor become so inexact that reads with a limit of seconds
+// go to the primary.
+TEST(AgeTracker, IsBoundedAndAccurateUnderManyWrites) {
   constexpr int64_t kStep = 500;
   constexpr int64_t kWrites = 600000;
   Primary primary;
   AgeTracker tracker;
-  size_t most = 0;
+  size_t max_samples = 0;
   for (int64_t i = 1; i <= kWrites; ++i) {
     primary.Write(i * kStep);
     tracker.PrimaryAt(At(i * kStep), primary.last());
-    most = std::max(most, tracker.marks());
+    max_samples = std::max(max_samples, tracker.sample_count());
   }
-  EXPECT_LE(most, kMaxMarks);
+  EXPECT_LE(max_samples, kMaxSamples);
   const int64_t now = kWrites * kStep;
   for (uint64_t back = 1; back < kWrites; back = back * 5 / 4 + 1) {
     const uint64_t index = kWrites - back;
-    const milliseconds truth = primary.TrueAge(now, index);
-    const milliseconds told = tracker.AgeAt(At(now), {1, index}, At(now));
-    EXPECT_GE(told, truth);
-    // Two thinning errors may add up: one before, one after aging.
-    EXPECT_LE(told, truth + truth / 3 + milliseconds(2)) << back;
+    const milliseconds true_age = primary.TrueAge(now, index);
+    const milliseconds bound = tracker.AgeAt(At(now), {1, index}, At(now));
+    EXPECT_GE(bound, true_age);
+    // Two errors of dropped samples may add up: one before and one after aging.
+    EXPECT_LE(bound, true_age + true_age / 3 + milliseconds(2)) << back;
   }
 }
 
@@ -89,9 +89,9 @@
   EXPECT_EQ(tracker.AgeAt(At(5001), {1, 10}, At(1000)), milliseconds(5));
 }
 
-// The read arrives, then a confirmation begun after that finds the primary
-// level with the replica, then the primary moves on. As of its arrival the
-// read gets everything.
+// A read arrives, a later confirmation finds the primary at the replica's
+// position, and then the primary advances. At the arrival of the read the
+// replica had all data.
 TEST(AgeTracker, AgeAsOfArrival) {
   AgeTracker tracker;
   tracker.PrimaryAt(At(2000), {1, 10});
@@ -100,9 +100,9 @@
   EXPECT_EQ(tracker.AgeAt(At(2000), {1, 10}, At(2000)), milliseconds(1));
 }
 
-// A new keeper finds a replica that stopped receiving yesterday. It has no
-// idea since when the primary is past it.
-TEST(AgeTracker, WhatLiesBeforeTheFirstMarkIsOfUnknownAge) {
+// A new keeper finds a replica that stopped receiving long ago, and has no
+// sample that shows since when the primary is past it.
+TEST(AgeTracker, PositionsBeforeTheFirstSampleHaveUnknownAge) {
   AgeTracker tracker;
   EXPECT_EQ(tracker.AgeAt(At(1), {1, 1}, At(1)), kUnknownAge);
   tracker.PrimaryAt(At(1000), {1, 100});
@@ -110,7 +110,7 @@
   EXPECT_EQ(tracker.AgeAt(At(1000), {1, 100}, At(1000)), milliseconds(0));
 }
 
-TEST(AgeTracker, ALateAnswerDoesNotMakeDataYounger) {
+TEST(AgeTracker, ALateAnswerDoesNotReduceTheAge) {
   AgeTracker tracker;
   tracker.PrimaryAt(At(1000), {1, 10});
   tracker.PrimaryAt(At(2000), {1, 11});
--- a/testsuite/routing_reads/router_test.cc
+++ b/testsuite/routing_reads/router_test.cc
@@ -77,10 +77,9 @@
   return needs;
 }
 
-// What a database that lacks part of the session's history, or is older than
-// accepted, must never be asked for. Stated again here without the router's
-// own helpers: the histories of these tests have terms 1 and 2, the second
-// from entry 10 on.
+// Returns whether the database may serve the read: it has the session's history
+// and is not older than accepted. Implemented without the router's helpers; the
+// histories in these tests have terms 1 and 2, the latter from entry 10 on.
 bool MayServe(const ReadNeeds& needs, const Candidate& c, bool term_2_known) {
   if (!c.usable || c.age > needs.max_age) return false;
   LogPosition seen = needs.seen;
@@ -92,13 +91,12 @@
   return seen.index <= c.last.index;
 }
 
-// A caller saves a record and reads it back at once from a replica that has
-// not received it yet: the record is not there. Or a caller that accepts data
-// of ten milliseconds gets older data.
+// Guards against two stale reads: a caller reads its own write from a replica
+// that has not received it, or gets data older than the age it accepts.
 RC_GTEST_PROP(Router, ServesOnlyWhatCoversTheSessionAndIsFreshEnough, ()) {
   const auto candidates = SomeCandidates();
   const ReadNeeds needs = SomeNeeds();
-  const bool known =
+  const bool has_term_2 =
       std::any_of(candidates.begin(), candidates.end(),
                   [](const Candidate& c) { return c.last.term == 2; });
   const Route route = ChooseForRead(kNow, needs, candidates);
@@ -108,7 +106,7 @@
   bool any_busy = false;
   for (const Candidate& c : candidates) {
     if (c.database == route.database) chosen = &c;
-    if (!MayServe(needs, c, known)) continue;
+    if (!MayServe(needs, c, has_term_2)) continue;
     any_free = any_free || c.has_free_slot;
     any_replica = any_replica || (c.has_free_slot && !c.primary);
     any_busy = any_busy || !c.has_free_slot;
@@ -116,7 +114,7 @@
   RC_ASSERT((route.kind == RouteKind::kServe) == any_free);
   if (route.kind == RouteKind::kServe) {
     RC_ASSERT(chosen != nullptr);
-    RC_ASSERT(MayServe(needs, *chosen, known));
+    RC_ASSERT(MayServe(needs, *chosen, has_term_2));
     RC_ASSERT(chosen->has_free_slot);
     RC_ASSERT(!(chosen->primary && any_replica));
   }
@@ -149,9 +147,9 @@
   EXPECT_EQ(ChooseForRead(kNow, needs, all).database, "p");
 }
 
-// One replica falls far behind. Reads that it cannot serve must neither wait
-// for it nor go to the primary while the other replica can serve them.
-TEST(Router, OneReplicaFarBehindDoesNotHurt) {
+// One replica is far behind. Reads that it cannot serve must neither wait for
+// it nor go to the primary while the other replica can serve them.
+TEST(Router, UsesTheOtherReplicaWhenOneIsFarBehind) {
   std::vector<Candidate> all = {Primary("p", 1000), Replica("behind", 5),
                                 Replica("level", 1000)};
   all[1].age = milliseconds(60000);
@@ -161,7 +159,7 @@
   EXPECT_EQ(route.database, "level");
 }
 
-TEST(Router, WaitsForAReplicaOnlyIfThatBeatsThePrimary) {
+TEST(Router, WaitsForAReplicaOnlyIfThePrimaryHasNoFreeSlot) {
   std::vector<Candidate> all = {Primary("p", 10), Replica("r", 8)};
   all[1].catches_up_at = kNow + milliseconds(3);
   const ReadNeeds needs = NeedsOf(10, milliseconds(50));
@@ -172,8 +170,8 @@
   EXPECT_EQ(route.look_again, kNow + milliseconds(3));
 }
 
-// An expectation that has passed without the replica catching up would make
-// the keeper look again at once, for ever, at full processor load.
+// Waiting for an estimated catch-up time in the past would make the keeper
+// route the read again immediately, in a busy loop.
 TEST(Router, AnExpectationThatHasPassedIsNoReasonToWait) {
   std::vector<Candidate> all = {Replica("r", 8)};
   all[0].catches_up_at = kNow;
@@ -181,9 +179,9 @@
             RouteKind::kNone);
 }
 
-// The session read writes of term 1 that the promotion to term 2 discarded.
-// The replica has not received the first entry of term 2 yet and cannot know
-// that; the primary's term starts tell it.
+// The session read writes of term 1 that the promotion to term 2 discarded. The
+// replica has not received the first entry of term 2 yet; only the term starts
+// of the primary show which entries were discarded.
 TEST(Router, DiscardedPositionsAreNotWaitedFor) {
   std::vector<Candidate> all = {Primary("p", 91), Replica("r", 89)};
   all[0].last = {2, 91};
