--- a/src/include/ryefold/core/failover/coordinator.h
+++ b/src/include/ryefold/core/failover/coordinator.h
@@ -18,11 +18,11 @@
 
 /// Result of a promotion order.
 enum class PromotionOutcome : uint8_t {
-  kAccepted,    ///< The database becomes primary within about 1 s.
-  kFenced,      ///< Rejected: a higher fencing token has been used.
-  kNotRunning,  ///< The database is not running.
-  kNotDone,     ///< Rejected or not delivered; has no effect.
-  kUnknown,     ///< No answer; the order may still be executed.
+  kAccepted,     ///< The database becomes primary within about 1 s.
+  kFenced,       ///< Rejected: a higher fencing token has been used.
+  kNotRunning,   ///< The database is not running.
+  kNotExecuted,  ///< Rejected or not delivered; has no effect.
+  kUnknown,      ///< No answer; the order may still be executed.
 };
 
 /// Interface to the platform's promotion call. Each order carries the fencing
@@ -92,8 +92,9 @@
 
   /// Evaluates every group and orders promotions where needed. `token` is the
   /// fencing token of the duty; nullopt while this instance does not hold it.
-  void Observe(TimePoint now, const std::vector<session::GroupView>& groups,
-               std::optional<uint64_t> token);
+  void EvaluateGroups(TimePoint now,
+                      const std::vector<session::GroupView>& groups,
+                      std::optional<uint64_t> token);
 
   void PromotionAnswered(TimePoint now, const std::string& group,
                          uint64_t token, PromotionOutcome outcome);
--- a/src/include/ryefold/core/failover/election.h
+++ b/src/include/ryefold/core/failover/election.h
@@ -80,8 +80,8 @@
 
   /// The holder key changed or does not exist. `revision` is that of the
   /// change, or of the listing that lacks the key.
-  void HolderSeen(TimePoint now, const std::optional<HolderRecord>& holder,
-                  uint64_t revision);
+  void HolderChanged(TimePoint now, const std::optional<HolderRecord>& holder,
+                     uint64_t revision);
   /// The validity of the lease is counted from when the call was made.
   void LeaseGranted(TimePoint now, StoreOutcome outcome, LeaseId lease,
                     std::chrono::milliseconds ttl);
@@ -95,7 +95,7 @@
   /// Releases the duty in order to acquire it with a higher token: an
   /// unanswered promotion may still be executed, and only a higher token fences
   /// it.
-  void Renounce(TimePoint now, std::string_view reason);
+  void Resign(TimePoint now, std::string_view reason);
   /// Releases the duty permanently, for shutdown.
   void Retire(TimePoint now);
 
--- a/src/include/ryefold/core/membership/duties.h
+++ b/src/include/ryefold/core/membership/duties.h
@@ -52,22 +52,22 @@
 // ---- actions ----
 
 /// Starts or continues to keep the group (`group::StepUp`).
-struct Keep {
+struct KeepGroup {
   std::string group;
 };
 /// Finishes open requests and releases the connections (`group::StepDown`).
-struct GiveUp {
+struct ReleaseGroup {
   std::string group;
 };
 /// Asks `instance` which of the groups in `request` it keeps.
-struct Check {
+struct CheckKeeper {
   CallId call = 0;
   std::string instance;
   std::string address;
   configuration::DutyCheck request;
   TimePoint deadline;
 };
-using DutyAction = std::variant<Keep, GiveUp, Check>;
+using DutyAction = std::variant<KeepGroup, ReleaseGroup, CheckKeeper>;
 
 struct DutyTiming {
   std::chrono::milliseconds check_interval{1000};
@@ -102,16 +102,17 @@
   /// keeps the group. Starts to keep it for a limited time if necessary, so
   /// that an entry that cannot reach a live keeper is served. If false, no
   /// statement has run and the entry tries another instance.
-  bool Asked(TimePoint now, const std::string& group,
-             std::vector<DutyAction>* actions);
+  bool AcceptRequest(TimePoint now, const std::string& group,
+                     std::vector<DutyAction>* actions);
 
   /// Returns the answer to a successor's check.
-  configuration::DutyReply Answer(const configuration::DutyCheck& check) const;
+  configuration::DutyReply AnswerCheck(
+      const configuration::DutyCheck& check) const;
 
   bool Keeps(const std::string& group) const;
-  std::vector<std::string> kept() const;
+  std::vector<std::string> kept_groups() const;
   /// Returns the groups that this instance checks as the first successor.
-  std::vector<std::string> watched() const;
+  std::vector<std::string> watched_groups() const;
   TimePoint next_deadline() const;
 
  private:
--- a/src/include/ryefold/core/membership/roster.h
+++ b/src/include/ryefold/core/membership/roster.h
@@ -38,7 +38,7 @@
   void Suspect(TimePoint now, const std::string& instance);
   /// Clears the suspicion of an instance that answered.
   void Trust(const std::string& instance);
-  bool Suspected(TimePoint now, const std::string& instance) const;
+  bool IsSuspected(TimePoint now, const std::string& instance) const;
 
   /// Returns the names of the instances that may keep `group` in rank order,
   /// which is by xxhash64 of group and instance (rendezvous hashing), so that
@@ -53,11 +53,11 @@
   /// The first two may be in the same failure domain. An order that separates
   /// them would also move other instances when the first is lost, so that each
   /// loss would move a group twice.
-  std::vector<std::string> Ranked(TimePoint now,
-                                  const std::string& group) const;
+  std::vector<std::string> RankedInstances(TimePoint now,
+                                           const std::string& group) const;
   /// Returns the rank order without regard to suspicions. The reference is
   /// valid until the next `SetMembers`.
-  const std::vector<std::string>& Intended(const std::string& group) const;
+  const std::vector<std::string>& RankOrder(const std::string& group) const;
 
   /// Returns nullptr if the name is not listed.
   const Member* Find(const std::string& name) const;
--- a/src/include/ryefold/core/routing/router.h
+++ b/src/include/ryefold/core/routing/router.h
@@ -40,18 +40,18 @@
 };
 
 /// Requirements of a read.
-struct ReadNeeds {
+struct ReadRequirements {
   /// Newest position that the session has read or written.
   LogPosition seen;
   std::chrono::milliseconds max_age{0};
   /// Preferred failure domain.
-  std::string near;
+  std::string near_domain;
   TimePoint deadline;
 };
 
 enum class RouteKind : uint8_t {
   kServe,  ///< Send the read to `database` now.
-  kWait,   ///< A replica will catch up soon; route again at `look_again`.
+  kWait,   ///< A replica will catch up soon; route again at `retry_at`.
   kBusy,   ///< The databases that could serve the read have no free slot.
   kNone,   ///< No database can serve the read at present.
 };
@@ -59,7 +59,7 @@
 struct Route {
   RouteKind kind = RouteKind::kNone;
   std::string database;
-  TimePoint look_again;
+  TimePoint retry_at;
 };
 
 /// Chooses the database for a read. Prefers replicas, then databases in the
@@ -71,8 +71,8 @@
 ///
 /// After kWait or kBusy, route again also when a slot becomes free or the
 /// position of a database advances.
-Route ChooseForRead(TimePoint now, const ReadNeeds& needs,
-                    const std::vector<Candidate>& candidates);
+Route ChooseReadRoute(TimePoint now, const ReadRequirements& needs,
+                      const std::vector<Candidate>& candidates);
 
 /// Bounds the age of replica data from above. Records, for one database group,
 /// the last time at which the primary was known not to be past each position.
@@ -84,7 +84,7 @@
  public:
   /// Records that the confirmed primary was at position `last`. To be called
   /// for every answer of the primary, even if its position has not changed.
-  void PrimaryAt(TimePoint now, const LogPosition& last);
+  void RecordPrimary(TimePoint now, const LogPosition& last);
 
   /// Returns an upper bound of the age of the data at position `last`: the time
   /// since the primary was last known not to be past `last`. The bound is at
@@ -93,8 +93,8 @@
   /// confirmed the primary's term; later samples do not count, because they may
   /// come from a primary that has been replaced unnoticed. With the arrival
   /// time of a read as `now`, the result is the age at its arrival.
-  std::chrono::milliseconds AgeAt(TimePoint now, const LogPosition& last,
-                                  TimePoint confirmed) const;
+  std::chrono::milliseconds AgeBound(TimePoint now, const LogPosition& last,
+                                     TimePoint confirmed) const;
 
   /// Returns the number of samples, at most `kMaxSamples`.
   size_t sample_count() const { return samples_.size(); }
--- a/src/libcore/failover/coordinator.cc
+++ b/src/libcore/failover/coordinator.cc
@@ -155,8 +155,9 @@
   port_->Probe(group.group);
 }
 
-void Coordinator::Observe(TimePoint now, const std::vector<GroupView>& groups,
-                          std::optional<uint64_t> token) {
+void Coordinator::EvaluateGroups(TimePoint now,
+                                 const std::vector<GroupView>& groups,
+                                 std::optional<uint64_t> token) {
   if (!token.has_value()) {
     groups_.clear();
     return;
@@ -221,7 +222,7 @@
       port_->Announce(group, state.ordered_database);
       break;
     case PromotionOutcome::kNotRunning:
-    case PromotionOutcome::kNotDone:
+    case PromotionOutcome::kNotExecuted:
       state.promotion_deadline = TimePoint();
       state.next_probe_at = now;
       state.no_primary_since =
--- a/src/libcore/failover/election.cc
+++ b/src/libcore/failover/election.cc
@@ -31,9 +31,9 @@
   deadline_ = now + delay;
 }
 
-void Election::HolderSeen(TimePoint now,
-                          const std::optional<HolderRecord>& holder,
-                          uint64_t revision) {
+void Election::HolderChanged(TimePoint now,
+                             const std::optional<HolderRecord>& holder,
+                             uint64_t revision) {
   if (state_ == State::kRetired) return;
   const bool first = !std::exchange(store_read_, true);
   vacant_ = !holder.has_value();
@@ -145,7 +145,7 @@
   }
 }
 
-void Election::Renounce(TimePoint now, std::string_view reason) {
+void Election::Resign(TimePoint now, std::string_view reason) {
   if (state_ != State::kHolding) return;
   vacant_ = true;
   StepDown(now, reason);
--- a/src/libcore/group/keeper_requests.cc
+++ b/src/libcore/group/keeper_requests.cc
@@ -242,7 +242,7 @@
   const routing::Route route =
       reads_.Choose(now_, view, pending->read, pending->request.deadline);
   if (route.kind == routing::RouteKind::kWait) {
-    look_again_ = std::min(look_again_, route.look_again);
+    look_again_ = std::min(look_again_, route.retry_at);
   }
   if (route.kind != routing::RouteKind::kServe) return false;
   if (!shares(route.database).MayTake(pending->request.workspace, wanted_)) {
--- a/src/libcore/group/reads.cc
+++ b/src/libcore/group/reads.cc
@@ -28,7 +28,7 @@
 void Reads::PrimaryAt(TimePoint now, TimePoint sent, const LogPosition& last) {
   // It had no more than `last` when the call was sent; since then it can have
   // moved on unseen.
-  ages_.PrimaryAt(sent, last);
+  ages_.RecordPrimary(sent, last);
   if (!marks_.empty() && last <= marks_.back().position) return;
   marks_.push_back({last, now});
   if (marks_.size() > kMaxMarks) marks_.pop_front();
@@ -79,9 +79,9 @@
 
 routing::Route Reads::Choose(TimePoint now, const ReadView& view,
                              const ReadState& read, TimePoint deadline) const {
-  routing::ReadNeeds needs;
+  routing::ReadRequirements needs;
   needs.max_age = read.max_age;
-  needs.near = near_;
+  needs.near_domain = near_;
   needs.deadline = deadline;
   needs.seen = read.seen;
   if (const DatabaseStatus* primary = view.health.status(view.primary)) {
@@ -108,8 +108,8 @@
     const bool level =
         read.floor.has_value() &&
         HoldsEntry(status->last, status->term_starts, *read.floor);
-    candidate.age =
-        level ? milliseconds(0) : ages_.AgeAt(now, status->last, view.vouched);
+    candidate.age = level ? milliseconds(0)
+                          : ages_.AgeBound(now, status->last, view.vouched);
     if (!level && read.max_age == milliseconds(0)) {
       candidate.age = std::max(candidate.age, milliseconds(1));
     }
@@ -118,7 +118,7 @@
     }
     candidates.push_back(std::move(candidate));
   }
-  return routing::ChooseForRead(now, needs, candidates);
+  return routing::ChooseReadRoute(now, needs, candidates);
 }
 
 bool Reads::StartRound(TimePoint now, const ReadView& view, TimePoint wanted) {
@@ -138,7 +138,7 @@
                         const std::string& database) const {
   const DatabaseStatus* status = view.health.status(database);
   if (status == nullptr) return milliseconds(0);
-  return std::min(ages_.AgeAt(now, status->last, now), kMostLag);
+  return std::min(ages_.AgeBound(now, status->last, now), kMostLag);
 }
 
 }  // namespace ryefold::core::group
--- a/src/libcore/membership/duties.cc
+++ b/src/libcore/membership/duties.cc
@@ -23,15 +23,15 @@
     Update(now);
     actions_ = nullptr;
   }
-  bool Asked(TimePoint now, const std::string& group,
-             std::vector<DutyAction>* actions);
-  DutyReply Answer(const DutyCheck& check) const;
+  bool AcceptRequest(TimePoint now, const std::string& group,
+                     std::vector<DutyAction>* actions);
+  DutyReply AnswerCheck(const DutyCheck& check) const;
   bool Keeps(const std::string& group) const {
     const auto found = duties_.find(group);
     return found != duties_.end() && found->second.keeping;
   }
-  std::vector<std::string> kept() const;
-  std::vector<std::string> watched() const;
+  std::vector<std::string> kept_groups() const;
+  std::vector<std::string> watched_groups() const;
   TimePoint next_deadline() const { return next_check_; }
 
  private:
@@ -99,7 +99,7 @@
 void Duties::Impl::SelectGroups(TimePoint now) {
   std::map<std::string, Duty> selected;
   for (const std::string& group : groups_) {
-    const std::vector<std::string>& order = roster_->Intended(group);
+    const std::vector<std::string>& order = roster_->RankOrder(group);
     const size_t count = std::min(timing_.max_ranks, order.size());
     const auto end = order.begin() + static_cast<ptrdiff_t>(count);
     const bool in_ranks = std::find(order.begin(), end, self_) != end;
@@ -111,7 +111,7 @@
   }
   for (const auto& [group, duty] : duties_) {
     if (duty.keeping && !selected.contains(group)) {
-      actions_->push_back(GiveUp{group});
+      actions_->push_back(ReleaseGroup{group});
     }
   }
   duties_ = std::move(selected);
@@ -120,7 +120,7 @@
 
 std::vector<std::string> Duties::Impl::Predecessors(
     const std::string& group) const {
-  const std::vector<std::string>& order = roster_->Intended(group);
+  const std::vector<std::string>& order = roster_->RankOrder(group);
   const auto own = std::find(order.begin(), order.end(), self_);
   return {order.begin(), own};
 }
@@ -137,7 +137,7 @@
     TimePoint now, const std::string& group, const Duty& duty) const {
   std::vector<std::string> predecessors = Predecessors(group);
   if (duty.inspecting_until > now) return predecessors;
-  const std::vector<std::string> ranked = roster_->Ranked(now, group);
+  const std::vector<std::string> ranked = roster_->RankedInstances(now, group);
   const auto own = std::find(ranked.begin(), ranked.end(), self_);
   const auto place = own - ranked.begin();
   if (place == 0) {
@@ -172,7 +172,7 @@
 
 void Duties::Impl::UpdateDuty(TimePoint now, const std::string& group,
                               Duty* duty) {
-  const std::vector<std::string> ranked = roster_->Ranked(now, group);
+  const std::vector<std::string> ranked = roster_->RankedInstances(now, group);
   const bool first = !ranked.empty() && ranked.front() == self_;
   if (duty->keeping && !first && duty->covering_until == TimePoint()) {
     // The new first instance may not keep the group yet. Entries that it
@@ -189,10 +189,10 @@
   if (keep == duty->keeping) return;
   duty->keeping = keep;
   if (keep) {
-    actions_->push_back(Keep{group});
+    actions_->push_back(KeepGroup{group});
   } else {
     duty->covering_until = TimePoint();
-    actions_->push_back(GiveUp{group});
+    actions_->push_back(ReleaseGroup{group});
   }
 }
 
@@ -218,9 +218,9 @@
     target.check_in_flight = true;
     const CallId call = next_call_++;
     calls_[call] = {name, groups};
-    actions_->push_back(Check{call, name, member->peer_address,
-                              DutyCheck{std::move(groups)},
-                              now + timing_.check_timeout});
+    actions_->push_back(CheckKeeper{call, name, member->peer_address,
+                                    DutyCheck{std::move(groups)},
+                                    now + timing_.check_timeout});
   }
 }
 
@@ -278,13 +278,13 @@
   next_check_ = TimePoint::max();
 }
 
-bool Duties::Impl::Asked(TimePoint now, const std::string& group,
-                         std::vector<DutyAction>* actions) {
+bool Duties::Impl::AcceptRequest(TimePoint now, const std::string& group,
+                                 std::vector<DutyAction>* actions) {
   const auto found = duties_.find(group);
   if (retired_ || found == duties_.end()) return false;
   Duty& duty = found->second;
   actions_ = actions;
-  const std::vector<std::string> ranked = roster_->Ranked(now, group);
+  const std::vector<std::string> ranked = roster_->RankedInstances(now, group);
   const auto own = std::find(ranked.begin(), ranked.end(), self_);
   if (own - ranked.begin() < static_cast<ptrdiff_t>(timing_.immediate_ranks)) {
     duty.requested_until = now + timing_.request_hold_time;
@@ -297,7 +297,7 @@
   return duty.keeping;
 }
 
-DutyReply Duties::Impl::Answer(const DutyCheck& check) const {
+DutyReply Duties::Impl::AnswerCheck(const DutyCheck& check) const {
   DutyReply reply;
   for (const std::string& group : check.groups) {
     if (Keeps(group)) reply.keeping.push_back(group);
@@ -305,7 +305,7 @@
   return reply;
 }
 
-std::vector<std::string> Duties::Impl::kept() const {
+std::vector<std::string> Duties::Impl::kept_groups() const {
   std::vector<std::string> names;
   for (const auto& [group, duty] : duties_) {
     if (duty.keeping) names.push_back(group);
@@ -313,10 +313,10 @@
   return names;
 }
 
-std::vector<std::string> Duties::Impl::watched() const {
+std::vector<std::string> Duties::Impl::watched_groups() const {
   std::vector<std::string> names;
   for (const auto& [group, duty] : duties_) {
-    const std::vector<std::string>& order = roster_->Intended(group);
+    const std::vector<std::string>& order = roster_->RankOrder(group);
     if (order.size() > 1 && order[1] == self_) names.push_back(group);
   }
   return names;
@@ -330,18 +330,22 @@
                     std::vector<DutyAction>* actions) {
   impl_->Handle(now, event, actions);
 }
-bool Duties::Asked(TimePoint now, const std::string& group,
-                   std::vector<DutyAction>* actions) {
-  return impl_->Asked(now, group, actions);
+bool Duties::AcceptRequest(TimePoint now, const std::string& group,
+                           std::vector<DutyAction>* actions) {
+  return impl_->AcceptRequest(now, group, actions);
 }
-DutyReply Duties::Answer(const DutyCheck& check) const {
-  return impl_->Answer(check);
+DutyReply Duties::AnswerCheck(const DutyCheck& check) const {
+  return impl_->AnswerCheck(check);
 }
 bool Duties::Keeps(const std::string& group) const {
   return impl_->Keeps(group);
 }
-std::vector<std::string> Duties::kept() const { return impl_->kept(); }
-std::vector<std::string> Duties::watched() const { return impl_->watched(); }
+std::vector<std::string> Duties::kept_groups() const {
+  return impl_->kept_groups();
+}
+std::vector<std::string> Duties::watched_groups() const {
+  return impl_->watched_groups();
+}
 TimePoint Duties::next_deadline() const { return impl_->next_deadline(); }
 
 }  // namespace ryefold::core::membership
--- a/src/libcore/membership/roster.cc
+++ b/src/libcore/membership/roster.cc
@@ -98,7 +98,7 @@
 
 void Roster::Trust(const std::string& instance) { suspicions_.erase(instance); }
 
-bool Roster::Suspected(TimePoint now, const std::string& instance) const {
+bool Roster::IsSuspected(TimePoint now, const std::string& instance) const {
   const auto found = suspicions_.find(instance);
   return found != suspicions_.end() && found->second.until > now;
 }
@@ -154,7 +154,7 @@
   return names;
 }
 
-const std::vector<std::string>& Roster::Intended(
+const std::vector<std::string>& Roster::RankOrder(
     const std::string& group) const {
   const auto found = orders_.find(group);
   if (found != orders_.end()) return found->second.names;
@@ -164,12 +164,12 @@
   return order.names;
 }
 
-std::vector<std::string> Roster::Ranked(TimePoint now,
-                                        const std::string& group) const {
-  std::vector<std::string> names = Intended(group);
+std::vector<std::string> Roster::RankedInstances(
+    TimePoint now, const std::string& group) const {
+  std::vector<std::string> names = RankOrder(group);
   if (suspicions_.empty()) return names;
   const auto not_suspected = [&](const std::string& name) {
-    return !Suspected(now, name);
+    return !IsSuspected(now, name);
   };
   if (std::none_of(names.begin(), names.end(), not_suspected)) {
     names = ComputeOrder(group, instances_.size());
--- a/src/libcore/routing/age_tracker.cc
+++ b/src/libcore/routing/age_tracker.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void AgeTracker::PrimaryAt(TimePoint now, const LogPosition& last) {
+void AgeTracker::RecordPrimary(TimePoint now, const LogPosition& last) {
   if (!samples_.empty() && last < samples_.back().position) {
     // The answer is late; a newer position of the primary is known.
     return;
@@ -31,8 +31,8 @@
   if (samples_.size() > kMaxSamples) ThinSamples(now);
 }
 
-milliseconds AgeTracker::AgeAt(TimePoint now, const LogPosition& last,
-                               TimePoint confirmed) const {
+milliseconds AgeTracker::AgeBound(TimePoint now, const LogPosition& last,
+                                  TimePoint confirmed) const {
   // The first sample past `last`. The one before it shows the last time at
   // which the primary was known not to be past `last`.
   const auto past =
--- a/src/libcore/routing/router.cc
+++ b/src/libcore/routing/router.cc
@@ -32,7 +32,7 @@
   return newest;
 }
 
-bool IsFresh(const ReadNeeds& needs, const Candidate& candidate) {
+bool IsFresh(const ReadRequirements& needs, const Candidate& candidate) {
   return candidate.usable && candidate.age <= needs.max_age;
 }
 
@@ -41,9 +41,10 @@
 }
 
 /// Returns whether `a` is preferred to `b`, given that both can serve the read.
-bool IsBetter(const ReadNeeds& needs, const Candidate& a, const Candidate& b) {
-  const bool a_far = a.failure_domain != needs.near;
-  const bool b_far = b.failure_domain != needs.near;
+bool IsBetter(const ReadRequirements& needs, const Candidate& a,
+              const Candidate& b) {
+  const bool a_far = a.failure_domain != needs.near_domain;
+  const bool b_far = b.failure_domain != needs.near_domain;
   return std::tuple(a.primary, a_far, a.running) <
          std::tuple(b.primary, b_far, b.running);
 }
@@ -51,7 +52,8 @@
 /// Returns when the first fresh replica with a free slot is expected to reach
 /// the session's position. Returns nullopt if none is expected to before the
 /// deadline.
-std::optional<TimePoint> NextCatchUp(TimePoint now, const ReadNeeds& needs,
+std::optional<TimePoint> NextCatchUp(TimePoint now,
+                                     const ReadRequirements& needs,
                                      const LogPosition& seen,
                                      const std::vector<Candidate>& candidates) {
   std::optional<TimePoint> first;
@@ -71,8 +73,8 @@
 
 }  // namespace
 
-Route ChooseForRead(TimePoint now, const ReadNeeds& needs,
-                    const std::vector<Candidate>& candidates) {
+Route ChooseReadRoute(TimePoint now, const ReadRequirements& needs,
+                      const std::vector<Candidate>& candidates) {
   const LogPosition seen =
       session::CutBack(needs.seen, *NewestTermStarts(candidates));
   const Candidate* best = nullptr;
@@ -93,7 +95,7 @@
   }
   if (const auto at = NextCatchUp(now, needs, seen, candidates)) {
     route.kind = RouteKind::kWait;
-    route.look_again = *at;
+    route.retry_at = *at;
     return route;
   }
   route.kind = busy ? RouteKind::kBusy : RouteKind::kNone;
--- a/src/ryefoldd/control_admin.cc
+++ b/src/ryefoldd/control_admin.cc
@@ -115,8 +115,8 @@
   status.node = node_->view(Now());
   status.members = node_->members();
   status.keepers = report.keepers;
-  status.duties = duties_->kept();
-  status.watched = duties_->watched();
+  status.duties = duties_->kept_groups();
+  status.watched = duties_->watched_groups();
   status.unresolved = unresolved_;
   AnswerAdmin(report.tag, kOk, WriteStatus(status));
 }
--- a/src/ryefoldd/control_task.cc
+++ b/src/ryefoldd/control_task.cc
@@ -80,7 +80,7 @@
     OnSuspicion(trusted->instance, /*failed=*/false);
   } else if (auto* group = std::get_if<GroupAsked>(&message)) {
     std::vector<membership::DutyAction> actions;
-    duties_->Asked(Now(), group->group, &actions);
+    duties_->AcceptRequest(Now(), group->group, &actions);
     PerformDuties(actions);
     // Also when nothing changed: the keeper task began to keep the group on
     // the entry's word and has to hear if it may not.
@@ -104,7 +104,7 @@
     return;
   }
   if (const auto* check = std::get_if<configuration::DutyCheck>(&*request)) {
-    const configuration::DutyReply reply = duties_->Answer(*check);
+    const configuration::DutyReply reply = duties_->AnswerCheck(*check);
     wiring_->keeper.Send(
         ControlReplied{asked.tag, wire::WritePeerAnswer(reply)});
     return;
@@ -114,13 +114,13 @@
 
 void ControlTask::OnSuspicion(const std::string& instance, bool failed) {
   const core::TimePoint now = Now();
-  const bool before = roster_.Suspected(now, instance);
+  const bool before = roster_.IsSuspected(now, instance);
   if (failed) {
     roster_.Suspect(now, instance);
   } else {
     roster_.Trust(instance);
   }
-  if (before == roster_.Suspected(now, instance)) return;
+  if (before == roster_.IsSuspected(now, instance)) return;
   LOG(INFO) << "event=" << (failed ? "instance_suspected" : "instance_trusted")
             << " instance=" << instance;
   ShareRoster();
@@ -238,7 +238,7 @@
     const std::vector<membership::DutyAction>& actions) {
   bool changed = false;
   for (const membership::DutyAction& action : actions) {
-    if (const auto* check = std::get_if<membership::Check>(&action)) {
+    if (const auto* check = std::get_if<membership::CheckKeeper>(&action)) {
       SendCheck(*check);
     } else {
       changed = true;
@@ -248,7 +248,7 @@
   Arm();
 }
 
-void ControlTask::SendCheck(const membership::Check& action) {
+void ControlTask::SendCheck(const membership::CheckKeeper& action) {
   const membership::CallId id = action.call;
   peers_->At(action.address)
       ->Call(std::string(wire::kPeerDuty),
@@ -270,7 +270,7 @@
 }
 
 void ControlTask::SendDuties() {
-  wiring_->keeper.Send(DutiesChanged{duties_->kept()});
+  wiring_->keeper.Send(DutiesChanged{duties_->kept_groups()});
 }
 
 void ControlTask::ShareRoster() {
--- a/src/ryefoldd/control_task.h
+++ b/src/ryefoldd/control_task.h
@@ -51,7 +51,7 @@
   // Duties.
   void DriveDuties(const core::membership::DutyEvent& event);
   void PerformDuties(const std::vector<core::membership::DutyAction>& actions);
-  void SendCheck(const core::membership::Check& action);
+  void SendCheck(const core::membership::CheckKeeper& action);
   void SendDuties();
   /// Gives the entry a copy of the roster as it is now.
   void ShareRoster();
--- a/src/ryefoldd/entry_forwarding.cc
+++ b/src/ryefoldd/entry_forwarding.cc
@@ -185,7 +185,7 @@
   // a suspicion lapses, which the age bound picks up.
   RankedEntry& entry = ranked_[group];
   if (entry.fresh_until <= now) {
-    entry.instances = roster_->Ranked(now, group);
+    entry.instances = roster_->RankedInstances(now, group);
     if (entry.instances.size() > kRanksUsed) entry.instances.resize(kRanksUsed);
     entry.fresh_until = now + kRankingFresh;
   }
--- a/src/ryefoldd/gateway_failover.cc
+++ b/src/ryefoldd/gateway_failover.cc
@@ -80,7 +80,7 @@
 }
 
 void GatewayFailover::ReplaceToken(const std::string& reason) {
-  election_.Renounce(BootTime(), reason);
+  election_.Resign(BootTime(), reason);
   ArmElection();
 }
 
@@ -99,9 +99,9 @@
   const core::TimePoint now = BootTime();
   const std::optional<uint64_t> token = election_.token(now);
   if (token.has_value()) {
-    coordinator_.Observe(now, surroundings_.proxy->groups(now), token);
+    coordinator_.EvaluateGroups(now, surroundings_.proxy->groups(now), token);
   } else {
-    coordinator_.Observe(now, {}, token);
+    coordinator_.EvaluateGroups(now, {}, token);
   }
   surroundings_.flush();
   observe_timer_ = surroundings_.loop->At(steady_clock::now() + kObservePace,
--- a/testsuite/failover_after_promotion/candidate_test.cc
+++ b/testsuite/failover_after_promotion/candidate_test.cc
@@ -63,7 +63,7 @@
   failed->silent_since = At(-3000);
   Add("c", {1, 109});
   for (int64_t now = 0; now <= 400; now += 100) {
-    coordinator.Observe(At(now), {group_}, 7);
+    coordinator.EvaluateGroups(At(now), {group_}, 7);
   }
   EXPECT_EQ(ordered_, "");
 }
--- a/testsuite/failover_coordinator/coordinator_test.cc
+++ b/testsuite/failover_coordinator/coordinator_test.cc
@@ -61,7 +61,7 @@
         if (busy_.count(database.id) > 0) continue;
         database.status_asked = At(now);
       }
-      coordinator_.Observe(At(now), {group_}, token);
+      coordinator_.EvaluateGroups(At(now), {group_}, token);
     }
   }
   DatabaseView& View(size_t index) { return group_.databases[index]; }
--- a/testsuite/failover_election/election_test.cc
+++ b/testsuite/failover_election/election_test.cc
@@ -181,7 +181,8 @@
       Deliver([this] {
         store_->Expire();
         if (!store_->down) {
-          election_.HolderSeen(clock_->now(), store_->holder, store_->revision);
+          election_.HolderChanged(clock_->now(), store_->holder,
+                                  store_->revision);
         }
         Watch();
       });
@@ -297,11 +298,11 @@
 
 // An unanswered promotion may be executed seconds later. The platform rejects
 // it only if a higher token has been used.
-TEST_F(ElectionTest, ARenouncedDutyIsAcquiredWithAHigherToken) {
+TEST_F(ElectionTest, AResignedDutyIsAcquiredWithAHigherToken) {
   Make(4, 1);
   Run(milliseconds(3500));
   const auto before = Holder()->token();
-  Holder()->election().Renounce(clock_.now(), "test");
+  Holder()->election().Resign(clock_.now(), "test");
   EXPECT_EQ(Holder(), nullptr);
   Run(milliseconds(1500));
   ASSERT_NE(Holder(), nullptr);
--- a/testsuite/membership_keepers/keepers_test.cc
+++ b/testsuite/membership_keepers/keepers_test.cc
@@ -38,7 +38,7 @@
   }
   /// Returns the instance at `place` in rank, without regard to suspicions.
   size_t Intended(const std::string& group, size_t place) {
-    return fleet_->IndexOf(fleet_->at(0).roster->Intended(group)[place]);
+    return fleet_->IndexOf(fleet_->at(0).roster->RankOrder(group)[place]);
   }
   void RunTraffic(milliseconds length) {
     traffic_->Start(5ms, length, groups_);
@@ -258,7 +258,7 @@
   Begin();
   const size_t keeper = KeeperOf("g0");
   fleet_->Leave(keeper);
-  EXPECT_TRUE(fleet_->at(keeper).duties->kept().empty());
+  EXPECT_TRUE(fleet_->at(keeper).duties->kept_groups().empty());
   EXPECT_FALSE(fleet_->Ask(keeper, "g0"));
   EXPECT_TRUE(fleet_->RunUntil([this] { return HasOneKeeperEach(); }, 1s));
 }
--- a/testsuite/membership_roster/roster_test.cc
+++ b/testsuite/membership_roster/roster_test.cc
@@ -48,9 +48,9 @@
   Roster after;
   after.SetMembers(members);
   for (size_t i = 0; i < 50; ++i) {
-    std::vector<std::string> order = before.Intended(Group(i));
+    std::vector<std::string> order = before.RankOrder(Group(i));
     std::erase(order, name);
-    const std::vector<std::string>& rest = after.Intended(Group(i));
+    const std::vector<std::string>& rest = after.RankOrder(Group(i));
     RC_ASSERT(std::equal(order.begin(), order.end(), rest.begin()));
   }
 }
@@ -86,7 +86,7 @@
     Roster fresh;
     fresh.SetMembers(members);
     for (const std::string& group : {std::string("g"), Group(1), Group(2)}) {
-      RC_ASSERT(cached.Intended(group) == fresh.Intended(group));
+      RC_ASSERT(cached.RankOrder(group) == fresh.RankOrder(group));
     }
   }
 }
@@ -96,7 +96,7 @@
   roster.SetMembers(Instances(100));
   std::map<std::string, int> counts;
   constexpr int kGroups = 2000;
-  for (size_t i = 0; i < kGroups; ++i) ++counts[roster.Intended(Group(i))[0]];
+  for (size_t i = 0; i < kGroups; ++i) ++counts[roster.RankOrder(Group(i))[0]];
   int most = 0;
   for (const auto& [name, count] : counts) most = std::max(most, count);
   EXPECT_LE(most, 40);  // twice the mean
@@ -105,16 +105,16 @@
 TEST(Roster, SuspectedInstancesAreLastUntilTheSuspicionExpires) {
   Roster roster;
   roster.SetMembers(Instances(8));
-  const std::string first = roster.Intended("g")[0];
-  const std::string second = roster.Intended("g")[1];
+  const std::string first = roster.RankOrder("g")[0];
+  const std::string second = roster.RankOrder("g")[1];
   roster.Suspect(kNow, first);
-  EXPECT_EQ(roster.Ranked(kNow, "g").front(), second);
-  EXPECT_EQ(roster.Ranked(kNow, "g").back(), first);
-  EXPECT_EQ(roster.Ranked(kNow + 6s, "g").front(), first);
+  EXPECT_EQ(roster.RankedInstances(kNow, "g").front(), second);
+  EXPECT_EQ(roster.RankedInstances(kNow, "g").back(), first);
+  EXPECT_EQ(roster.RankedInstances(kNow + 6s, "g").front(), first);
   roster.Suspect(kNow + 6s, first);
-  EXPECT_EQ(roster.Ranked(kNow + 15s, "g").front(), second);
+  EXPECT_EQ(roster.RankedInstances(kNow + 15s, "g").front(), second);
   roster.Trust(first);
-  EXPECT_EQ(roster.Ranked(kNow + 15s, "g").front(), first);
+  EXPECT_EQ(roster.RankedInstances(kNow + 15s, "g").front(), first);
 }
 
 // The entry's own network fails, so it suspects all instances. The order must
@@ -123,11 +123,11 @@
 TEST(Roster, SuspectingAllInstancesLeavesTheOrder) {
   Roster roster;
   roster.SetMembers(Instances(40));
-  const std::vector<std::string> order = roster.Intended("g");
+  const std::vector<std::string> order = roster.RankOrder("g");
   for (size_t i = 0; i < 40; ++i) {
     roster.Suspect(kNow, "i" + std::to_string(i));
   }
-  const std::vector<std::string> ranked = roster.Ranked(kNow, "g");
+  const std::vector<std::string> ranked = roster.RankedInstances(kNow, "g");
   EXPECT_EQ(ranked.size(), 40U);
   EXPECT_TRUE(std::equal(order.begin(), order.end(), ranked.begin()));
 }
@@ -136,12 +136,12 @@
   std::vector<Member> members = Instances(5);
   Roster roster;
   roster.SetMembers(members);
-  const std::string first = roster.Intended("g")[0];
+  const std::string first = roster.RankOrder("g")[0];
   for (Member& member : members) {
     if (member.name == first) member.state = MemberState::kLeaving;
   }
   roster.SetMembers(members);
-  EXPECT_EQ(roster.Intended("g").back(), first);
+  EXPECT_EQ(roster.RankOrder("g").back(), first);
 }
 
 // Two regions are partitioned for minutes. An instance that kept the group in
@@ -158,14 +158,14 @@
     const std::string name = "i" + std::to_string(i);
     if (roster.Find(name)->region == "r1") roster.Suspect(kNow, name);
   }
-  for (const std::string& name : roster.Ranked(kNow, "g")) {
+  for (const std::string& name : roster.RankedInstances(kNow, "g")) {
     EXPECT_EQ(roster.Find(name)->region, "r1");
   }
   std::erase_if(members, [](const Member& member) {
     return member.kind == MemberKind::kInstance && member.region == "r1";
   });
   roster.SetMembers(members);
-  EXPECT_EQ(roster.Ranked(kNow, "g").size(), 10U);
+  EXPECT_EQ(roster.RankedInstances(kNow, "g").size(), 10U);
 }
 
 }  // namespace
--- a/testsuite/routing_age/age_test.cc
+++ b/testsuite/routing_age/age_test.cc
@@ -45,12 +45,12 @@
     if (write) {
       primary.Write(now);
     } else {
-      tracker.PrimaryAt(At(now), primary.last());
+      tracker.RecordPrimary(At(now), primary.last());
       seen_at = now;
     }
     const auto index = *rc::gen::inRange<uint64_t>(0, primary.last().index + 1);
     const int64_t read_at = now + *rc::gen::inRange<int64_t>(0, 5000);
-    RC_ASSERT(tracker.AgeAt(At(read_at), {1, index}, At(seen_at)) >=
+    RC_ASSERT(tracker.AgeBound(At(read_at), {1, index}, At(seen_at)) >=
               primary.TrueAge(read_at, index));
   }
 }
@@ -66,7 +66,7 @@
   size_t max_samples = 0;
   for (int64_t i = 1; i <= kWrites; ++i) {
     primary.Write(i * kStep);
-    tracker.PrimaryAt(At(i * kStep), primary.last());
+    tracker.RecordPrimary(At(i * kStep), primary.last());
     max_samples = std::max(max_samples, tracker.sample_count());
   }
   EXPECT_LE(max_samples, kMaxSamples);
@@ -74,7 +74,7 @@
   for (uint64_t back = 1; back < kWrites; back = back * 5 / 4 + 1) {
     const uint64_t index = kWrites - back;
     const milliseconds true_age = primary.TrueAge(now, index);
-    const milliseconds bound = tracker.AgeAt(At(now), {1, index}, At(now));
+    const milliseconds bound = tracker.AgeBound(At(now), {1, index}, At(now));
     EXPECT_GE(bound, true_age);
     // Two errors of dropped samples may add up: one before and one after aging.
     EXPECT_LE(bound, true_age + true_age / 3 + milliseconds(2)) << back;
@@ -83,10 +83,10 @@
 
 TEST(AgeTracker, LevelReplicaIsAsOldAsTheConfirmation) {
   AgeTracker tracker;
-  tracker.PrimaryAt(At(1000), {1, 10});
-  EXPECT_EQ(tracker.AgeAt(At(1000), {1, 10}, At(1000)), milliseconds(0));
-  EXPECT_EQ(tracker.AgeAt(At(5000), {1, 10}, At(1000)), milliseconds(4));
-  EXPECT_EQ(tracker.AgeAt(At(5001), {1, 10}, At(1000)), milliseconds(5));
+  tracker.RecordPrimary(At(1000), {1, 10});
+  EXPECT_EQ(tracker.AgeBound(At(1000), {1, 10}, At(1000)), milliseconds(0));
+  EXPECT_EQ(tracker.AgeBound(At(5000), {1, 10}, At(1000)), milliseconds(4));
+  EXPECT_EQ(tracker.AgeBound(At(5001), {1, 10}, At(1000)), milliseconds(5));
 }
 
 // A read arrives, a later confirmation finds the primary at the replica's
@@ -94,28 +94,28 @@
 // replica had all data.
 TEST(AgeTracker, AgeAsOfArrival) {
   AgeTracker tracker;
-  tracker.PrimaryAt(At(2000), {1, 10});
-  tracker.PrimaryAt(At(3000), {1, 11});
-  EXPECT_EQ(tracker.AgeAt(At(1500), {1, 10}, At(1600)), milliseconds(0));
-  EXPECT_EQ(tracker.AgeAt(At(2000), {1, 10}, At(2000)), milliseconds(1));
+  tracker.RecordPrimary(At(2000), {1, 10});
+  tracker.RecordPrimary(At(3000), {1, 11});
+  EXPECT_EQ(tracker.AgeBound(At(1500), {1, 10}, At(1600)), milliseconds(0));
+  EXPECT_EQ(tracker.AgeBound(At(2000), {1, 10}, At(2000)), milliseconds(1));
 }
 
 // A new keeper finds a replica that stopped receiving long ago, and has no
 // sample that shows since when the primary is past it.
 TEST(AgeTracker, PositionsBeforeTheFirstSampleHaveUnknownAge) {
   AgeTracker tracker;
-  EXPECT_EQ(tracker.AgeAt(At(1), {1, 1}, At(1)), kUnknownAge);
-  tracker.PrimaryAt(At(1000), {1, 100});
-  EXPECT_EQ(tracker.AgeAt(At(1000), {1, 99}, At(1000)), kUnknownAge);
-  EXPECT_EQ(tracker.AgeAt(At(1000), {1, 100}, At(1000)), milliseconds(0));
+  EXPECT_EQ(tracker.AgeBound(At(1), {1, 1}, At(1)), kUnknownAge);
+  tracker.RecordPrimary(At(1000), {1, 100});
+  EXPECT_EQ(tracker.AgeBound(At(1000), {1, 99}, At(1000)), kUnknownAge);
+  EXPECT_EQ(tracker.AgeBound(At(1000), {1, 100}, At(1000)), milliseconds(0));
 }
 
 TEST(AgeTracker, ALateAnswerDoesNotReduceTheAge) {
   AgeTracker tracker;
-  tracker.PrimaryAt(At(1000), {1, 10});
-  tracker.PrimaryAt(At(2000), {1, 11});
-  tracker.PrimaryAt(At(9000), {1, 10});
-  EXPECT_EQ(tracker.AgeAt(At(9000), {1, 10}, At(9000)), milliseconds(8));
+  tracker.RecordPrimary(At(1000), {1, 10});
+  tracker.RecordPrimary(At(2000), {1, 11});
+  tracker.RecordPrimary(At(9000), {1, 10});
+  EXPECT_EQ(tracker.AgeBound(At(9000), {1, 10}, At(9000)), milliseconds(8));
 }
 
 }  // namespace
--- a/testsuite/routing_reads/router_test.cc
+++ b/testsuite/routing_reads/router_test.cc
@@ -32,11 +32,11 @@
   return candidate;
 }
 
-ReadNeeds NeedsOf(uint64_t index, milliseconds max_age) {
-  ReadNeeds needs;
+ReadRequirements NeedsOf(uint64_t index, milliseconds max_age) {
+  ReadRequirements needs;
   needs.seen = {index == 0 ? 0U : 1U, index};
   needs.max_age = max_age;
-  needs.near = "north";
+  needs.near_domain = "north";
   needs.deadline = kNow + milliseconds(1000);
   return needs;
 }
@@ -66,8 +66,8 @@
   return candidates;
 }
 
-ReadNeeds SomeNeeds() {
-  ReadNeeds needs = NeedsOf(0, milliseconds(*rc::gen::inRange(0, 20)));
+ReadRequirements SomeNeeds() {
+  ReadRequirements needs = NeedsOf(0, milliseconds(*rc::gen::inRange(0, 20)));
   needs.seen.term = *rc::gen::inRange<uint64_t>(0, 4);
   if (needs.seen.term > 0) {
     const uint64_t first = needs.seen.term == 1 ? 1 : 10;
@@ -80,7 +80,8 @@
 // Returns whether the database may serve the read: it has the session's history
 // and is not older than accepted. Implemented without the router's helpers; the
 // histories in these tests have terms 1 and 2, the latter from entry 10 on.
-bool MayServe(const ReadNeeds& needs, const Candidate& c, bool term_2_known) {
+bool MayServe(const ReadRequirements& needs, const Candidate& c,
+              bool term_2_known) {
   if (!c.usable || c.age > needs.max_age) return false;
   LogPosition seen = needs.seen;
   if (term_2_known && seen.term == 1) {
@@ -95,11 +96,11 @@
 // that has not received it, or gets data older than the age it accepts.
 RC_GTEST_PROP(Router, ServesOnlyWhatCoversTheSessionAndIsFreshEnough, ()) {
   const auto candidates = SomeCandidates();
-  const ReadNeeds needs = SomeNeeds();
+  const ReadRequirements needs = SomeNeeds();
   const bool has_term_2 =
       std::any_of(candidates.begin(), candidates.end(),
                   [](const Candidate& c) { return c.last.term == 2; });
-  const Route route = ChooseForRead(kNow, needs, candidates);
+  const Route route = ChooseReadRoute(kNow, needs, candidates);
   const Candidate* chosen = nullptr;
   bool any_free = false;
   bool any_replica = false;
@@ -123,11 +124,11 @@
 }
 
 RC_GTEST_PROP(Router, WaitsAreAheadAndEndBeforeTheDeadline, ()) {
-  const ReadNeeds needs = SomeNeeds();
-  const Route route = ChooseForRead(kNow, needs, SomeCandidates());
+  const ReadRequirements needs = SomeNeeds();
+  const Route route = ChooseReadRoute(kNow, needs, SomeCandidates());
   if (route.kind != RouteKind::kWait) return;
-  RC_ASSERT(route.look_again > kNow);
-  RC_ASSERT(route.look_again < needs.deadline);
+  RC_ASSERT(route.retry_at > kNow);
+  RC_ASSERT(route.retry_at < needs.deadline);
 }
 
 TEST(Router, PrefersReplicasThenTheNearDomainThenTheLeastBusy) {
@@ -137,14 +138,14 @@
   all[2].failure_domain = "north";
   all[2].running = 2;
   all[3].failure_domain = "north";
-  const ReadNeeds needs = NeedsOf(9, milliseconds(0));
-  EXPECT_EQ(ChooseForRead(kNow, needs, all).database, "near_idle");
+  const ReadRequirements needs = NeedsOf(9, milliseconds(0));
+  EXPECT_EQ(ChooseReadRoute(kNow, needs, all).database, "near_idle");
   all.pop_back();
-  EXPECT_EQ(ChooseForRead(kNow, needs, all).database, "near");
+  EXPECT_EQ(ChooseReadRoute(kNow, needs, all).database, "near");
   all.pop_back();
-  EXPECT_EQ(ChooseForRead(kNow, needs, all).database, "far");
+  EXPECT_EQ(ChooseReadRoute(kNow, needs, all).database, "far");
   all.pop_back();
-  EXPECT_EQ(ChooseForRead(kNow, needs, all).database, "p");
+  EXPECT_EQ(ChooseReadRoute(kNow, needs, all).database, "p");
 }
 
 // One replica is far behind. Reads that it cannot serve must neither wait for
@@ -154,7 +155,7 @@
                                 Replica("level", 1000)};
   all[1].age = milliseconds(60000);
   all[1].catches_up_at = kNow + milliseconds(900);
-  const Route route = ChooseForRead(kNow, NeedsOf(900, milliseconds(5)), all);
+  const Route route = ChooseReadRoute(kNow, NeedsOf(900, milliseconds(5)), all);
   EXPECT_EQ(route.kind, RouteKind::kServe);
   EXPECT_EQ(route.database, "level");
 }
@@ -162,12 +163,12 @@
 TEST(Router, WaitsForAReplicaOnlyIfThePrimaryHasNoFreeSlot) {
   std::vector<Candidate> all = {Primary("p", 10), Replica("r", 8)};
   all[1].catches_up_at = kNow + milliseconds(3);
-  const ReadNeeds needs = NeedsOf(10, milliseconds(50));
-  EXPECT_EQ(ChooseForRead(kNow, needs, all).database, "p");
+  const ReadRequirements needs = NeedsOf(10, milliseconds(50));
+  EXPECT_EQ(ChooseReadRoute(kNow, needs, all).database, "p");
   all[0].has_free_slot = false;
-  const Route route = ChooseForRead(kNow, needs, all);
+  const Route route = ChooseReadRoute(kNow, needs, all);
   EXPECT_EQ(route.kind, RouteKind::kWait);
-  EXPECT_EQ(route.look_again, kNow + milliseconds(3));
+  EXPECT_EQ(route.retry_at, kNow + milliseconds(3));
 }
 
 // Waiting for an estimated catch-up time in the past would make the keeper
@@ -175,7 +176,7 @@
 TEST(Router, AnExpectationThatHasPassedIsNoReasonToWait) {
   std::vector<Candidate> all = {Replica("r", 8)};
   all[0].catches_up_at = kNow;
-  EXPECT_EQ(ChooseForRead(kNow, NeedsOf(10, milliseconds(50)), all).kind,
+  EXPECT_EQ(ChooseReadRoute(kNow, NeedsOf(10, milliseconds(50)), all).kind,
             RouteKind::kNone);
 }
 
@@ -186,7 +187,8 @@
   std::vector<Candidate> all = {Primary("p", 91), Replica("r", 89)};
   all[0].last = {2, 91};
   all[0].term_starts = {{1, 1}, {2, 90}};
-  const Route route = ChooseForRead(kNow, NeedsOf(100, milliseconds(50)), all);
+  const Route route =
+      ChooseReadRoute(kNow, NeedsOf(100, milliseconds(50)), all);
   EXPECT_EQ(route.kind, RouteKind::kServe);
   EXPECT_EQ(route.database, "r");
 }
--- a/testsuite/support/control/fleet.h
+++ b/testsuite/support/control/fleet.h
@@ -116,7 +116,7 @@
   /// An entry's request for the group reaches instance `i`.
   bool Ask(size_t i, const std::string& group) {
     std::vector<mem::DutyAction> actions;
-    const bool kept = at(i).duties->Asked(now_, group, &actions);
+    const bool kept = at(i).duties->AcceptRequest(now_, group, &actions);
     DoDuties(i, actions);
     ScheduleTick(i);
     return kept;
@@ -398,12 +398,12 @@
 inline void Fleet::DoDuties(size_t i,
                             const std::vector<mem::DutyAction>& actions) {
   for (const mem::DutyAction& action : actions) {
-    if (const auto* keep = std::get_if<mem::Keep>(&action)) {
+    if (const auto* keep = std::get_if<mem::KeepGroup>(&action)) {
       if (on_duty) on_duty(i, keep->group, true);
-    } else if (const auto* give = std::get_if<mem::GiveUp>(&action)) {
+    } else if (const auto* give = std::get_if<mem::ReleaseGroup>(&action)) {
       if (on_duty) on_duty(i, give->group, false);
     } else {
-      const auto& check = std::get<mem::Check>(action);
+      const auto& check = std::get<mem::CheckKeeper>(action);
       Carry(i, IndexOf(check.instance), check.request, check.deadline,
             [this, i, call = check.call](const cfg::PeerAnswer* answer,
                                          bool refused) {
@@ -444,7 +444,7 @@
   };
   At(to, Way(), [this, to, request, answered] {
     if (const auto* check = std::get_if<cfg::DutyCheck>(&request)) {
-      answered(at(to).duties->Answer(*check));
+      answered(at(to).duties->AnswerCheck(*check));
       return;
     }
     const cfg::Tag tag = next_tag_++;
--- a/testsuite/support/control/traffic.h
+++ b/testsuite/support/control/traffic.h
@@ -76,7 +76,8 @@
       ++refused;
       return;
     }
-    const auto ranked = entry.roster->Ranked(fleet_->now(), request->group);
+    const auto ranked =
+        entry.roster->RankedInstances(fleet_->now(), request->group);
     const size_t place = request->attempt++ % 3;
     if (place >= ranked.size()) return Again(request, kPause);
     const std::string& name = ranked[place];
