--- a/testsuite/membership_roster/roster_test.cc
+++ b/testsuite/membership_roster/roster_test.cc
@@ -35,8 +35,8 @@
 
 std::string Group(size_t i) { return "g" + std::to_string(i); }
 
-// An instance dies. Only the groups that it kept may move: each move costs
-// connections that are reopened at 10 to 30 ms each while callers wait.
+// An instance is lost. Only the groups that it kept may move: each move reopens
+// connections at 10 to 30 ms each while callers wait.
 RC_GTEST_PROP(Roster, ALostInstanceMovesOnlyItsOwnGroups, ()) {
   const auto count = *rc::gen::inRange<size_t>(2, 60);
   const auto lost = *rc::gen::inRange<size_t>(0, count);
@@ -48,33 +48,33 @@
   Roster after;
   after.SetMembers(members);
   for (size_t i = 0; i < 50; ++i) {
-    std::vector<std::string> order = before.Intended(Group(i));
+    std::vector<std::string> order = before.RankOrder(Group(i));
     std::erase(order, name);
-    const std::vector<std::string>& rest = after.Intended(Group(i));
+    const std::vector<std::string>& rest = after.RankOrder(Group(i));
     RC_ASSERT(std::equal(order.begin(), order.end(), rest.begin()));
   }
 }
 
-// Orders are kept from one list to the next where nothing touches them. Kept
-// wrongly, this instance would send a group's requests to another keeper than
-// all others do.
-RC_GTEST_PROP(Roster, OrdersKeptAreThoseWorkedOutAnew, ()) {
+// Cached orders that a new list does not affect are reused. A stale order would
+// make this instance send a group's requests to a different keeper than all
+// others.
+RC_GTEST_PROP(Roster, CachedOrdersEqualRecomputedOnes, ()) {
   std::vector<Member> members = Instances(30, 2);
   for (const char* name : {"a", "b", "c"}) {
     members.push_back(DatabaseIn(name, "r0"));
   }
-  Roster kept;
+  Roster cached;
   const auto steps = *rc::gen::container<std::vector<size_t>>(
       12, rc::gen::inRange<size_t>(0, 1000));
   for (const size_t step : steps) {
     Member& member = members[step % members.size()];
-    const size_t what = step / members.size() % 4;
-    if (what == 0) {
+    const size_t change = step / members.size() % 4;
+    if (change == 0) {
       member.state = member.state == MemberState::kLive ? MemberState::kLeaving
                                                         : MemberState::kLive;
-    } else if (what == 1) {
+    } else if (change == 1) {
       member.region = member.region == "r0" ? "r1" : "r0";
-    } else if (what == 2 && members.size() > 20) {
+    } else if (change == 2 && members.size() > 20) {
       members.erase(members.begin() +
                     static_cast<ptrdiff_t>(step % members.size()));
     } else {
@@ -82,11 +82,11 @@
       added.name = "n" + std::to_string(step);
       members.push_back(added);
     }
-    kept.SetMembers(members);
+    cached.SetMembers(members);
     Roster fresh;
     fresh.SetMembers(members);
     for (const std::string& group : {std::string("g"), Group(1), Group(2)}) {
-      RC_ASSERT(kept.Intended(group) == fresh.Intended(group));
+      RC_ASSERT(cached.RankOrder(group) == fresh.RankOrder(group));
     }
   }
 }
@@ -94,39 +94,40 @@
 TEST(Roster, GroupsAreSpreadEvenly) {
   Roster roster;
   roster.SetMembers(Instances(100));
-  std::map<std::string, int> kept;
+  std::map<std::string, int> counts;
   constexpr int kGroups = 2000;
-  for (size_t i = 0; i < kGroups; ++i) ++kept[roster.Intended(Group(i))[0]];
+  for (size_t i = 0; i < kGroups; ++i) ++counts[roster.RankOrder(Group(i))[0]];
   int most = 0;
-  for (const auto& [name, count] : kept) most = std::max(most, count);
+  for (const auto& [name, count] : counts) most = std::max(most, count);
   EXPECT_LE(most, 40);  // twice the mean
 }
 
-TEST(Roster, SuspectedLastAndBackAfterAWhile) {
+TEST(Roster, SuspectedInstancesAreLastUntilTheSuspicionExpires) {
   Roster roster;
   roster.SetMembers(Instances(8));
-  const std::string first = roster.Intended("g")[0];
-  const std::string second = roster.Intended("g")[1];
+  const std::string first = roster.RankOrder("g")[0];
+  const std::string second = roster.RankOrder("g")[1];
   roster.Suspect(kNow, first);
-  EXPECT_EQ(roster.Ranked(kNow, "g").front(), second);
-  EXPECT_EQ(roster.Ranked(kNow, "g").back(), first);
-  EXPECT_EQ(roster.Ranked(kNow + 6s, "g").front(), first);
+  EXPECT_EQ(roster.RankedInstances(kNow, "g").front(), second);
+  EXPECT_EQ(roster.RankedInstances(kNow, "g").back(), first);
+  EXPECT_EQ(roster.RankedInstances(kNow + 6s, "g").front(), first);
   roster.Suspect(kNow + 6s, first);
-  EXPECT_EQ(roster.Ranked(kNow + 15s, "g").front(), second);
+  EXPECT_EQ(roster.RankedInstances(kNow + 15s, "g").front(), second);
   roster.Trust(first);
-  EXPECT_EQ(roster.Ranked(kNow + 15s, "g").front(), first);
+  EXPECT_EQ(roster.RankedInstances(kNow + 15s, "g").front(), first);
 }
 
-// The entry's own network is broken, so it suspects everybody. It must still
-// have somebody to ask once the network is back.
-TEST(Roster, SuspectingEverybodyLeavesTheOrder) {
+// The entry's own network fails, so it suspects all instances. The order must
+// stay complete, so that the entry can send requests once the network works
+// again.
+TEST(Roster, SuspectingAllInstancesLeavesTheOrder) {
   Roster roster;
   roster.SetMembers(Instances(40));
-  const std::vector<std::string> order = roster.Intended("g");
+  const std::vector<std::string> order = roster.RankOrder("g");
   for (size_t i = 0; i < 40; ++i) {
     roster.Suspect(kNow, "i" + std::to_string(i));
   }
-  const std::vector<std::string> ranked = roster.Ranked(kNow, "g");
+  const std::vector<std::string> ranked = roster.RankedInstances(kNow, "g");
   EXPECT_EQ(ranked.size(), 40U);
   EXPECT_TRUE(std::equal(order.begin(), order.end(), ranked.begin()));
 }
@@ -135,17 +136,17 @@
   std::vector<Member> members = Instances(5);
   Roster roster;
   roster.SetMembers(members);
-  const std::string first = roster.Intended("g")[0];
+  const std::string first = roster.RankOrder("g")[0];
   for (Member& member : members) {
     if (member.name == first) member.state = MemberState::kLeaving;
   }
   roster.SetMembers(members);
-  EXPECT_EQ(roster.Intended("g").back(), first);
+  EXPECT_EQ(roster.RankOrder("g").back(), first);
 }
 
-// Two regions lose each other for minutes. In the one that holds one database
-// of three, an instance that kept the group would ask that database to adopt
-// new terms, and the group would have no primary once they meet again.
+// Two regions are partitioned for minutes. An instance that kept the group in
+// the region with one database of three would make that database adopt new
+// terms, and the group would have no primary when the partition ends.
 TEST(Roster, OnlyTheRegionWithMostDatabasesKeepsAGroup) {
   std::vector<Member> members = Instances(20, 2);
   members.push_back(DatabaseIn("a", "r1"));
@@ -157,14 +158,14 @@
     const std::string name = "i" + std::to_string(i);
     if (roster.Find(name)->region == "r1") roster.Suspect(kNow, name);
   }
-  for (const std::string& name : roster.Ranked(kNow, "g")) {
+  for (const std::string& name : roster.RankedInstances(kNow, "g")) {
     EXPECT_EQ(roster.Find(name)->region, "r1");
   }
   std::erase_if(members, [](const Member& member) {
     return member.kind == MemberKind::kInstance && member.region == "r1";
   });
   roster.SetMembers(members);
-  EXPECT_EQ(roster.Ranked(kNow, "g").size(), 10U);
+  EXPECT_EQ(roster.RankedInstances(kNow, "g").size(), 10U);
 }
 
 }  // namespace
