--- a/src/libcore/session/proxy.cc
+++ b/src/libcore/session/proxy.cc
@@ -12,7 +12,7 @@
 
 /// Pace of everything that is not due at a precise moment: idle transactions,
 /// pools, probes. Well below the shortest span that any of them waits for.
-constexpr milliseconds kMaintenance{50};
+constexpr milliseconds kMaintenanceInterval{50};
 }  // namespace
 
 Group::Group(const std::string& group_name, uint64_t seed)
@@ -37,34 +37,36 @@
     if (now >= request->timeout_at) {
       TimeOut(now, request);
     } else {
-      LookAfter(now, request);
+      OnRequestTimer(now, request);
     }
   }
-  if (now < maintain_at_) return;
-  maintain_at_ = now + kMaintenance;
+  if (now < next_maintenance_) return;
+  next_maintenance_ = now + kMaintenanceInterval;
   EndIdleTransactions(now);
-  EndRevoked(now);
-  MaintainTouch(now);
+  CloseRevokedSessions(now);
+  ProbePeers(now);
   MaintainPools(now);
   for (auto& [name, group] : groups_) {
     MaintainLeadership(now, group.get());
     MaintainCommits(now, group.get());
   }
-  PumpAll(now);
+  ServeAllQueues(now);
   if (draining_) DrainCallers(now);
 }
 
 TimePoint Proxy::Impl::next_deadline() const {
-  if (timers_.empty()) return maintain_at_;
-  return std::min(maintain_at_, timers_.begin()->first);
+  if (timers_.empty()) return next_maintenance_;
+  return std::min(next_maintenance_, timers_.begin()->first);
 }
 
-bool Proxy::Impl::Informed() const {
+bool Proxy::Impl::IsInitialized() const {
   const bool have_keepers = forwarder_ == nullptr || have_instances_;
   return have_routes_ && have_roster_ && have_keepers;
 }
 
-bool Proxy::Impl::ready() const { return Informed() && !isolation_.cut_off(); }
+bool Proxy::Impl::ready() const {
+  return IsInitialized() && !isolation_.cut_off();
+}
 
 bool Proxy::Impl::LacksDatabases() const {
   return std::any_of(groups_.begin(), groups_.end(), [](const auto& entry) {
@@ -97,26 +99,26 @@
   return found == databases_.end() ? nullptr : &found->second;
 }
 
-DatabaseView Proxy::Impl::View(TimePoint now, const Group& group,
-                               const DatabaseState& database) const {
+DatabaseView Proxy::Impl::MakeDatabaseView(
+    TimePoint now, const Group& group, const DatabaseState& database) const {
   DatabaseView view;
   view.id = database.info.id;
   view.failure_domain = database.info.failure_domain;
   view.draining = database.info.draining;
   view.primary = group.primary == database.info.id;
-  view.responsive = !Suspect(now, database);
+  view.responsive = !IsDatabaseSuspected(now, database);
   view.last_heard = database.last_heard;
   view.silent_since = database.silent_since;
   view.refusals = database.refusals;
   view.status = database.status;
-  view.applied = database.known;
-  view.status_asked = database.status_from;
+  view.applied = database.applied_position;
+  view.status_asked = database.status_as_of;
   view.connections = database.pool.size();
   view.in_flight = database.in_flight;
   return view;
 }
 
-std::vector<GroupView> Proxy::Impl::Views(TimePoint now) const {
+std::vector<GroupView> Proxy::Impl::GroupViews(TimePoint now) const {
   std::vector<GroupView> views;
   for (const auto& [name, group] : groups_) {
     GroupView view;
@@ -124,10 +126,11 @@
     view.primary = group->primary;
     view.term = group->term;
     view.waiting = group->primary_queue.size() + group->read_queue.size();
-    view.kept = group->kept;
-    view.writes_held = group->held_at != LogPosition();
+    view.kept = group->is_keeper;
+    view.writes_held = group->writes_held_position != LogPosition();
     for (const std::string& id : group->databases) {
-      view.databases.push_back(View(now, *group, databases_.at(id)));
+      view.databases.push_back(
+          MakeDatabaseView(now, *group, databases_.at(id)));
     }
     views.push_back(std::move(view));
   }
@@ -186,7 +189,7 @@
 }
 void Proxy::SetInstances(TimePoint now, const std::string& self,
                          const std::vector<KeeperCandidate>& instances) {
-  impl_->SetKeepers(now, self, instances);
+  impl_->SetInstances(now, self, instances);
 }
 void Proxy::ForwardAnswered(TimePoint now, ForwardId call,
                             ForwardOutcome outcome, Reply reply) {
@@ -226,7 +229,7 @@
 }
 uint64_t Proxy::route_version() const { return impl_->route_version(); }
 std::vector<GroupView> Proxy::groups(TimePoint now) const {
-  return impl_->Views(now);
+  return impl_->GroupViews(now);
 }
 const ProxyCounters& Proxy::counters() const { return impl_->counters(); }
 size_t Proxy::callers() const { return impl_->callers(); }
--- a/src/libcore/session/proxy_callers.cc
+++ b/src/libcore/session/proxy_callers.cc
@@ -14,7 +14,7 @@
 
 /// Part of a transaction's idle bound after which it is ended, so that the
 /// bound itself is never undercut by a late timer.
-constexpr milliseconds kIdleSlack{100};
+constexpr milliseconds kIdleTimeoutMargin{100};
 
 bool IsTransactionEnd(StatementKind kind) {
   return kind == StatementKind::kCommit || kind == StatementKind::kRollback;
@@ -31,7 +31,7 @@
                                 const workspace::KeyDigest& key) {
   // Others are further, as a rule: turned away here, a caller is served sooner
   // elsewhere than kept waiting, after a loss of all power too.
-  if (!Informed()) {
+  if (!IsInitialized()) {
     port_->CloseCaller(id, ErrorCode::kBusy, "no configuration yet");
     return;
   }
@@ -41,7 +41,7 @@
         .Add("caller", id)
         .Add("database", route)
         .Add("reason", "no_route")
-        .Add("config_version", table_.version)
+        .Add("config_version", route_table_.version)
         .Add("config_age", now - routes_confirmed_at_);
     port_->CloseCaller(id, ErrorCode::kNoRoute, route);
     return;
@@ -50,7 +50,7 @@
   caller.id = id;
   caller.route = route;
   caller.key = key;
-  if (!Admit(now, *found, &caller)) return;
+  if (!AdmitCaller(now, *found, &caller)) return;
   callers_.emplace(id, std::move(caller));
   port_->AcceptCaller(id);
 }
@@ -61,7 +61,7 @@
   return found == routes_.end() ? nullptr : found->second;
 }
 
-Reply Proxy::Impl::LocalReply(const Caller& caller) const {
+Reply Proxy::Impl::MakeLocalReply(const Caller& caller) const {
   Reply reply;
   reply.state = caller.state;
   reply.position = caller.position;
@@ -69,11 +69,11 @@
 }
 
 std::shared_ptr<const Route> Proxy::Impl::RouteOf(const Caller& caller) const {
-  return caller.fixed_route != nullptr ? caller.fixed_route
-                                       : RouteOf(caller.route);
+  return caller.forwarded_route != nullptr ? caller.forwarded_route
+                                           : RouteOf(caller.route);
 }
 
-void Proxy::Impl::Tell(const Caller& caller, const Reply& reply) {
+void Proxy::Impl::SendReply(const Caller& caller, const Reply& reply) {
   if (caller.adopted) {
     forwarder_->AnswerForwarded(caller.id, reply);
   } else {
@@ -83,19 +83,19 @@
 
 void Proxy::Impl::AnswerLocally(Caller* caller, ErrorCode error,
                                 const std::string& text) {
-  Reply reply = LocalReply(*caller);
+  Reply reply = MakeLocalReply(*caller);
   reply.error = error;
   reply.error_text = text;
-  Tell(*caller, reply);
+  SendReply(*caller, reply);
 }
 
-PreparedRef Proxy::Impl::Intern(bool writes, const std::string& shape) {
-  std::weak_ptr<const Prepared>& known = prepared_[{writes, shape}];
-  PreparedRef prepared = known.lock();
+PreparedRef Proxy::Impl::InternPrepared(bool writes, const std::string& shape) {
+  std::weak_ptr<const Prepared>& entry = prepared_[{writes, shape}];
+  PreparedRef prepared = entry.lock();
   if (prepared == nullptr) {
     prepared = std::make_shared<const Prepared>(
         Prepared{++last_prepared_, writes, shape});
-    known = prepared;
+    entry = prepared;
   }
   return prepared;
 }
@@ -124,7 +124,7 @@
       return true;
     case StatementKind::kPrepare:
       caller->prepared[statement.name] =
-          Intern(statement.writes, statement.argument);
+          InternPrepared(statement.writes, statement.argument);
       AnswerLocally(caller, ErrorCode::kNone, "");
       return true;
     case StatementKind::kDeallocate:
@@ -166,7 +166,7 @@
   request.caller = id;
   request.statement_id = statement_id;
   request.statement = std::move(statement);
-  request.arrived = now;
+  request.arrived_at = now;
   request.writes = request.statement.kind == StatementKind::kWrite;
   if (request.statement.kind == StatementKind::kExecute) {
     const auto found = caller->prepared.find(request.statement.name);
@@ -181,55 +181,55 @@
     request.writes = found->second->writes;
   }
   if (caller->state == TransactionState::kOpen) {
-    InTransaction(now, caller, std::move(request));
+    RunInTransaction(now, caller, std::move(request));
   } else {
-    OutsideTransaction(now, caller, std::move(request));
+    RunOutsideTransaction(now, caller, std::move(request));
   }
 }
 
-Request* Proxy::Impl::Keep(Request request) {
+Request* Proxy::Impl::AddRequest(Request request) {
   request.id = ++last_request_;
-  request.goal_at = request.arrived + request.route->goal;
-  request.line = request.route->name;
+  request.goal_deadline = request.arrived_at + request.route->goal;
+  request.queue_key = request.route->name;
   const std::string& workspace = callers_.at(request.caller).workspace;
-  if (!workspace.empty()) request.line.append("/").append(workspace);
-  request.timeout_at = request.arrived + request.route->statement_timeout;
+  if (!workspace.empty()) request.queue_key.append("/").append(workspace);
+  request.timeout_at = request.arrived_at + request.route->statement_timeout;
   const RequestId id = request.id;
-  Request* kept = &requests_.emplace(id, std::move(request)).first->second;
-  callers_.at(kept->caller).request = id;
-  SetTimer(kept, kept->timeout_at);
-  return kept;
+  Request* added = &requests_.emplace(id, std::move(request)).first->second;
+  callers_.at(added->caller).request = id;
+  SetTimer(added, added->timeout_at);
+  return added;
 }
 
-void Proxy::Impl::InTransaction(TimePoint now, Caller* caller,
-                                Request request) {
+void Proxy::Impl::RunInTransaction(TimePoint now, Caller* caller,
+                                   Request request) {
   Connection* connection = FindConnection(caller->transaction.connection);
-  request.need = Need::kTransaction;
+  request.requirement = Requirement::kTransaction;
   request.route = caller->transaction.route;
   caller->transaction.wrote |= request.writes;
-  Request* kept = Keep(std::move(request));
+  Request* added = AddRequest(std::move(request));
   if (!caller->transaction.keeper.empty()) {
-    Forward(now, kept, caller->transaction.keeper);
+    Forward(now, added, caller->transaction.keeper);
     return;
   }
-  const bool commits = kept->statement.kind == StatementKind::kCommit &&
+  const bool commits = added->statement.kind == StatementKind::kCommit &&
                        caller->transaction.wrote;
-  if (commits && WritesHeld(*kept)) {
+  if (commits && AreWritesHeld(*added)) {
     EndTransaction(now, caller, /*roll_back=*/true);
-    RefuseHeld(now, kept, ErrorCode::kAborted);
+    RefuseHeldWrite(now, added, ErrorCode::kAborted);
     return;
   }
-  Send(now, connection, kept, std::nullopt);
+  SendStatement(now, connection, added, std::nullopt);
 }
 
-void Proxy::Impl::OutsideTransaction(TimePoint now, Caller* caller,
-                                     Request request) {
+void Proxy::Impl::RunOutsideTransaction(TimePoint now, Caller* caller,
+                                        Request request) {
   request.route = RouteOf(*caller);
   if (request.route == nullptr) {
     AnswerLocally(caller, ErrorCode::kNoRoute, caller->route);
     return;
   }
-  if (!caller->adopted && !Admit(now, *request.route, caller)) return;
+  if (!caller->adopted && !AdmitCaller(now, *request.route, caller)) return;
   if (caller->group != request.route->group) {
     caller->group = request.route->group;
     caller->committed = LogPosition();
@@ -238,13 +238,13 @@
   const bool reads =
       kind == StatementKind::kBeginRead || (!IsBegin(kind) && !request.writes);
   if (!reads) {
-    request.need = Need::kPrimary;
+    request.requirement = Requirement::kPrimary;
   } else if (request.route->freshness == Freshness::kPrimary) {
-    request.need = Need::kProvedRead;
+    request.requirement = Requirement::kProvedRead;
   } else {
-    request.need = Need::kCoveredRead;
+    request.requirement = Requirement::kReadAtPosition;
   }
-  StartOperation(now, *caller, Keep(std::move(request)));
+  StartOperation(now, *caller, AddRequest(std::move(request)));
 }
 
 void Proxy::Impl::SetTimer(Request* request, TimePoint when) {
@@ -255,14 +255,14 @@
   timers_.emplace(when, request->id);
 }
 
-void Proxy::Impl::Forget(Request* request) {
+void Proxy::Impl::RemoveRequest(Request* request) {
   if (request->timer != TimePoint()) {
     timers_.erase({request->timer, request->id});
   }
   if (!request->forwarded_to.empty()) {
     forwarder_->Cancel(request->id);
-    InstanceState& keeper = others_[request->forwarded_to];
-    if (keeper.under_way > 0) --keeper.under_way;
+    InstanceState& keeper = peers_[request->forwarded_to];
+    if (keeper.forwards_in_flight > 0) --keeper.forwards_in_flight;
   }
   if (request->awaits_limit && limiter_ != nullptr) {
     limiter_->Cancel(callers_.at(request->caller).workspace, request->id);
@@ -271,18 +271,18 @@
   if (request->queued && group != nullptr) {
     QueueOf(group, *request)->Remove(request->id);
   }
-  if (request->unconfirmed.has_value() && group != nullptr) {
-    std::erase(group->unconfirmed, request->id);
+  if (request->unconfirmed_reply.has_value() && group != nullptr) {
+    std::erase(group->unconfirmed_commits, request->id);
   }
-  if (request->unproved.has_value() && group != nullptr) {
-    std::erase(group->unproved, request->id);
+  if (request->unproved_reply.has_value() && group != nullptr) {
+    std::erase(group->unproved_reads, request->id);
   }
   Caller* caller = FindCaller(request->caller);
   if (caller != nullptr && caller->request == request->id) caller->request = 0;
   requests_.erase(request->id);
 }
 
-void Proxy::Impl::Finish(TimePoint now, Request* request, Reply reply) {
+void Proxy::Impl::FinishRequest(TimePoint now, Request* request, Reply reply) {
   Caller* caller = FindCaller(request->caller);
   if (caller != nullptr) {
     reply.state = caller->state;
@@ -292,12 +292,12 @@
       reply.position = caller->position;
     }
     if (caller->state == TransactionState::kOpen) {
-      caller->transaction.idle_until =
-          now + table_.transaction_idle + kIdleSlack;
+      caller->transaction.idle_deadline =
+          now + route_table_.transaction_idle + kIdleTimeoutMargin;
     }
   }
   const auto took = std::chrono::duration_cast<std::chrono::microseconds>(
-      now - request->arrived);
+      now - request->arrived_at);
   ++(reply.ok() ? counters_.answered : counters_.failed);
   if (observer_ != nullptr) {
     observer_->OnAnswer(*request->route, reply.error, took);
@@ -309,22 +309,24 @@
       .Add("outcome", ErrorName(reply.error))
       .Add("database", request->database)
       .Add("attempts", request->attempts)
-      .Add("waited", request->sent == TimePoint()
-                         ? now - request->arrived
-                         : request->sent - request->arrived)
-      .Add("confirming", request->unconfirmed.has_value()
+      .Add("waited", request->sent_at == TimePoint()
+                         ? now - request->arrived_at
+                         : request->sent_at - request->arrived_at)
+      .Add("confirming", request->unconfirmed_reply.has_value()
                              ? now - request->committed_at
                              : now - now)
-      .Add("proving", request->unproved.has_value() ? now - request->kept_since
-                                                    : now - now)
-      .Add("took", now - request->arrived)
-      .Add("config_version", table_.version);
-  Forget(request);
-  if (caller != nullptr) Tell(*caller, reply);
+      .Add("proving", request->unproved_reply.has_value()
+                          ? now - request->proof_pending_since
+                          : now - now)
+      .Add("took", now - request->arrived_at)
+      .Add("config_version", route_table_.version);
+  RemoveRequest(request);
+  if (caller != nullptr) SendReply(*caller, reply);
 }
 
-void Proxy::Impl::Refuse(TimePoint now, Request* request, ErrorCode error,
-                         milliseconds retry_after, const std::string& why) {
+void Proxy::Impl::RefuseRequest(TimePoint now, Request* request,
+                                ErrorCode error, milliseconds retry_after,
+                                const std::string& why) {
   ++counters_.refused;
   const Group* group = GroupOf(*request);
   const DatabaseState* primary =
@@ -341,13 +343,13 @@
       .Add("reason", why)
       .Add("attempts", request->attempts)
       .Add("last_error", ErrorName(request->last_error))
-      .Add("waited", now - request->arrived)
+      .Add("waited", now - request->arrived_at)
       .Add("retry_after", retry_after);
   Reply reply;
   reply.error = error;
   reply.error_text =
       why + " retry-after-ms=" + std::to_string(retry_after.count());
-  Finish(now, request, std::move(reply));
+  FinishRequest(now, request, std::move(reply));
 }
 
 void Proxy::Impl::OpenTransaction(Caller* caller, const Request& begin) {
@@ -373,9 +375,9 @@
   caller->transaction = Transaction();
   Connection* connection = FindConnection(id);
   if (connection == nullptr) return;
-  connection->pinned = 0;
+  connection->pinned_caller = 0;
   if (!roll_back) return;
-  if (!connection->expected.empty()) {
+  if (!connection->pending_calls.empty()) {
     // Something still runs in the transaction. Closing ends it at once, and
     // the database rolls back.
     CloseConnection(now, connection);
@@ -383,7 +385,8 @@
   }
   BackendCall rollback;
   rollback.kind = CallKind::kRollback;
-  SendOwn(now, connection, {rollback}, {ExpectedKind::kEnd});
+  SendInternalCalls(now, connection, {rollback},
+                    {PendingCallKind::kProxyRollback});
 }
 
 void Proxy::Impl::CallerGone(TimePoint now, CallerId id) {
@@ -395,13 +398,13 @@
         .Add("request", request->statement_id)
         .Add("caller", id)
         .Add("database", request->database);
-    Forget(request);
+    RemoveRequest(request);
   }
   if (caller->state == TransactionState::kOpen) {
     EndTransaction(now, caller, /*roll_back=*/true);
   }
   callers_.erase(id);
-  revoked_.erase(id);
+  revoked_callers_.erase(id);
 }
 
 void Proxy::Impl::EndIdleTransactions(TimePoint now) {
@@ -409,7 +412,7 @@
     if (caller.state != TransactionState::kOpen || caller.request != 0) {
       continue;
     }
-    if (now < caller.transaction.idle_until) continue;
+    if (now < caller.transaction.idle_deadline) continue;
     Event(events_, EventWeight::kRequest, "transaction_ended")
         .Add("caller", id)
         .Add("reason", "idle");
--- a/src/libcore/session/proxy_forwarding.cc
+++ b/src/libcore/session/proxy_forwarding.cc
@@ -12,32 +12,32 @@
 using std::chrono::milliseconds;
 
 /// Keepers tried for one statement.
-constexpr uint32_t kMaxForwards = 4;
+constexpr uint32_t kMaxForwardAttempts = 4;
 /// Time that a keeper has for a sign of life before a statement goes to it; the
 /// statement then goes to another. Sent to one that has lost power it would
 /// wait until its goal, and be in doubt if it is a write. A sign of life takes
 /// one round trip; a process under a processor quota can stand still for nearly
 /// a tenth of a second, and is then no worse off for being passed over.
-constexpr milliseconds kAliveTime{60};
+constexpr milliseconds kAliveTimeout{60};
 /// The same for a statement of a transaction, which only this keeper can run.
-constexpr milliseconds kBoundAliveTime{300};
+constexpr milliseconds kTransactionAliveTimeout{300};
 /// The keeper answers when the route's time is over; this much later it is
 /// taken to have failed.
-constexpr milliseconds kAnswerReserve{150};
+constexpr milliseconds kAnswerMargin{150};
 /// Pause after several instances could not reach a primary either: it is lost,
 /// and asking around for each statement would only add load.
-constexpr milliseconds kDetourPause{500};
+constexpr milliseconds kDetourBackoff{500};
 /// How long a keeper that has no primary of a group in reach is passed over for
 /// statements that need one: promoting another takes about a second, and each
 /// question costs the keeper little.
-constexpr milliseconds kNoPrimaryThere{400};
+constexpr milliseconds kNoPrimaryBackoff{400};
 /// Pause before a keeper is asked again that had only just started.
-constexpr milliseconds kStartingPause{40};
+constexpr milliseconds kStartingKeeperBackoff{40};
 /// Retry hint when no keeper could be reached.
-constexpr milliseconds kNoKeeperRetry{200};
+constexpr milliseconds kNoKeeperRetryAfter{200};
 /// Retry hint while this instance reaches no other. Callers that come back go
 /// elsewhere; the hint is for those whose balancer has no other.
-constexpr milliseconds kCutOffRetry{500};
+constexpr milliseconds kCutOffRetryAfter{500};
 
 }  // namespace
 
@@ -48,16 +48,17 @@
 /// transaction that the session has begun there since.
 std::string Proxy::Impl::SessionName(const Caller& caller) const {
   return settings_.session_prefix + std::to_string(caller.id) + "/" +
-         std::to_string(caller.forwarded);
+         std::to_string(caller.forward_count);
 }
 
 /// A keeper that has only just started says so; another is asked. When a whole
 /// fleet starts, with a large configuration, the instances that are first would
 /// turn away what the others can serve a few tenths of a second later.
-bool Proxy::Impl::AwaitKeeper(TimePoint now, Request* request,
-                              const std::string& keeper, const Reply& reply) {
+bool Proxy::Impl::RetryAfterKeeperStart(TimePoint now, Request* request,
+                                        const std::string& keeper,
+                                        const Reply& reply) {
   if (reply.error != ErrorCode::kNotReady || request->detour) return false;
-  others_[keeper].starting_until = now + kStartingPause;
+  peers_[keeper].starting_until = now + kStartingKeeperBackoff;
   --request->attempts;
   Dispatch(now, request);
   return true;
@@ -70,18 +71,20 @@
                                    const std::string& keeper,
                                    const Reply& reply) {
   if (reply.error != ErrorCode::kReadOnly) return false;
-  if (request->need == Need::kTransaction) return false;
+  if (request->requirement == Requirement::kTransaction) return false;
   Group* group = GroupOf(*request);
-  if (group == nullptr || group->kept) return false;
-  others_[keeper].no_primary_until[group->name] = now + kNoPrimaryThere;
-  request->turned_down.push_back(keeper);
+  if (group == nullptr || group->is_keeper) return false;
+  peers_[keeper].no_primary_until[group->name] = now + kNoPrimaryBackoff;
+  request->rejected_by.push_back(keeper);
   Dispatch(now, request);
   return true;
 }
 
-bool Proxy::Impl::PrimaryOutOfReach(TimePoint now, const Group& group) const {
+bool Proxy::Impl::IsPrimaryUnreachable(TimePoint now,
+                                       const Group& group) const {
   const auto primary = databases_.find(group.primary);
-  return primary != databases_.end() && Suspect(now, primary->second);
+  return primary != databases_.end() &&
+         IsDatabaseSuspected(now, primary->second);
 }
 
 /// A primary can be cut off from some instances and serve the others, and so
@@ -90,20 +93,20 @@
 /// promotion with a second without writes.
 bool Proxy::Impl::TryDetour(TimePoint now, Request* request, Group* group) {
   const bool possible =
-      forwarder_ != nullptr && group->kept &&
-      !callers_.at(request->caller).adopted && request->running.empty() &&
+      forwarder_ != nullptr && group->is_keeper &&
+      !callers_.at(request->caller).adopted && request->running_on.empty() &&
       now >= group->no_detour_until &&
-      (PrimaryOutOfReach(now, *group) || LeadInDoubt(now, *group) ||
-       (request->writes && WritesHeld(*request)));
+      (IsPrimaryUnreachable(now, *group) || IsLeadershipInDoubt(now, *group) ||
+       (request->writes && AreWritesHeld(*request)));
   if (!possible) return false;
   const size_t count = instances_.size();
   for (size_t i = 0; i < count; ++i) {
     const std::string& instance =
         instances_[(i + request->caller) % count].instance;
     if (instance == self_) continue;
-    const auto& refused = request->turned_down;
+    const auto& refused = request->rejected_by;
     if (std::count(refused.begin(), refused.end(), instance) > 0) continue;
-    if (KeptSilent(now, instance)) continue;
+    if (IsInstanceSuspected(now, instance)) continue;
     request->detour = true;
     Forward(now, request, instance);
     return true;
@@ -113,16 +116,16 @@
 
 /// Whether a detour that was refused goes on to another instance, or back to
 /// the queue here.
-bool Proxy::Impl::DetourRefused(TimePoint now, Request* request,
-                                const std::string& instance,
-                                const Reply& reply) {
+bool Proxy::Impl::RetryRefusedDetour(TimePoint now, Request* request,
+                                     const std::string& instance,
+                                     const Reply& reply) {
   if (!std::exchange(request->detour, false)) return false;
   if (!MeansNotRun(reply.error) || now >= request->timeout_at) return false;
-  request->turned_down.push_back(instance);
+  request->rejected_by.push_back(instance);
   Group* group = GroupOf(*request);
   if (group == nullptr) return false;
-  if (request->attempts >= kMaxForwards) {
-    group->no_detour_until = now + kDetourPause;
+  if (request->attempts >= kMaxForwardAttempts) {
+    group->no_detour_until = now + kDetourBackoff;
     request->attempts = 0;
   }
   Dispatch(now, request);
@@ -131,14 +134,14 @@
 
 /// Sends the statement to a keeper, or refuses it. False when no keeper is in
 /// reach and it is to be run here.
-bool Proxy::Impl::ForwardToAny(TimePoint now, Request* request,
-                               const Group& group) {
+bool Proxy::Impl::ForwardToKeeper(TimePoint now, Request* request,
+                                  const Group& group) {
   if (isolation_.cut_off()) {
-    Refuse(now, request, ErrorCode::kBusy, kCutOffRetry, "cut_off");
+    RefuseRequest(now, request, ErrorCode::kBusy, kCutOffRetryAfter, "cut_off");
     return true;
   }
   const KeeperCandidate* keeper = ChooseKeeper(now, *request, group);
-  if (keeper != nullptr && request->attempts < kMaxForwards) {
+  if (keeper != nullptr && request->attempts < kMaxForwardAttempts) {
     Forward(now, request, keeper->instance);
     return true;
   }
@@ -148,26 +151,27 @@
                                     });
   if (starting) {
     request->awaits_keeper = true;
-    SetTimer(request, std::min(request->timeout_at, now + kStartingPause));
+    SetTimer(request,
+             std::min(request->timeout_at, now + kStartingKeeperBackoff));
     return true;
   }
-  if (MayRunAlone(now, *request, group)) return false;
+  if (MayRunLocally(now, *request, group)) return false;
   const bool refused = request->last_error == ErrorCode::kReadOnly;
-  Refuse(now, request, ErrorCode::kBusy, kNoKeeperRetry,
-         refused ? "no_primary" : "no_keeper");
+  RefuseRequest(now, request, ErrorCode::kBusy, kNoKeeperRetryAfter,
+                refused ? "no_primary" : "no_keeper");
   return true;
 }
 
 void Proxy::Impl::Forward(TimePoint now, Request* request,
                           const std::string& keeper) {
   Caller& caller = callers_.at(request->caller);
-  if (request->need != Need::kTransaction) ++caller.forwarded;
+  if (request->requirement != Requirement::kTransaction) ++caller.forward_count;
   ForwardedStatement forwarded;
   forwarded.session = SessionName(caller);
   forwarded.statement_id = request->statement_id;
   forwarded.statement = request->statement;
   forwarded.route = *request->route;
-  forwarded.config_version = table_.version;
+  forwarded.config_version = route_table_.version;
   forwarded.workspace = caller.workspace;
   forwarded.key = caller.key;
   forwarded.variables = caller.variables;
@@ -175,23 +179,27 @@
     forwarded.prepared[name] = {prepared->writes, prepared->shape};
   }
   forwarded.committed = caller.committed;
-  forwarded.in_transaction = request->need == Need::kTransaction;
+  forwarded.in_transaction = request->requirement == Requirement::kTransaction;
   ++request->attempts;
   request->forwarded_to = keeper;
   request->database = keeper;
-  request->sent = now;
-  ++others_[keeper].under_way;
-  const bool bound = forwarded.in_transaction;
-  const bool once = request->writes || bound;
-  const TimePoint last = request->timeout_at + kAnswerReserve;
+  request->sent_at = now;
+  ++peers_[keeper].forwards_in_flight;
+  const bool is_transaction_step = forwarded.in_transaction;
+  const bool run_at_most_once = request->writes || is_transaction_step;
+  const TimePoint last = request->timeout_at + kAnswerMargin;
   ForwardTerms terms;
   // What may be sent again is sent elsewhere once its goal is missed.
-  terms.deadline = once || now >= request->goal_at ? last : request->goal_at;
-  terms.alive_by = now + (bound ? kBoundAliveTime : kAliveTime);
-  const bool commit = request->statement.kind == StatementKind::kCommit;
-  const bool takes_effect = commit || (request->writes && !bound);
-  terms.lost_in_silence = !takes_effect;
-  SetTimer(request, last + kAnswerReserve);
+  terms.deadline = run_at_most_once || now >= request->goal_deadline
+                       ? last
+                       : request->goal_deadline;
+  terms.alive_by =
+      now + (is_transaction_step ? kTransactionAliveTimeout : kAliveTimeout);
+  const bool is_commit = request->statement.kind == StatementKind::kCommit;
+  const bool may_commit =
+      is_commit || (request->writes && !is_transaction_step);
+  terms.lost_in_silence = !may_commit;
+  SetTimer(request, last + kAnswerMargin);
   forwarder_->Forward(request->id, keeper, forwarded, terms);
 }
 
@@ -200,18 +208,18 @@
   Request* request = FindRequest(call);
   if (request == nullptr) return;
   const std::string keeper = std::exchange(request->forwarded_to, "");
-  InstanceState& state = others_[keeper];
-  if (state.under_way > 0) --state.under_way;
+  InstanceState& state = peers_[keeper];
+  if (state.forwards_in_flight > 0) --state.forwards_in_flight;
   Caller* caller = FindCaller(request->caller);
   if (outcome == ForwardOutcome::kAnswered) {
-    InstanceHeard(now);
-    TakeForwardedReply(now, request, caller, keeper, std::move(reply));
+    RecordPeerContact(now);
+    OnForwardedReply(now, request, caller, keeper, std::move(reply));
     return;
   }
   // Many statements can be under way to it; one line tells of the belief.
-  const bool news = !KeptSilent(now, keeper);
-  InstanceSilent(now, keeper, request->sent);
-  if (news) {
+  const bool newly_suspected = !IsInstanceSuspected(now, keeper);
+  SuspectInstance(now, keeper, request->sent_at);
+  if (newly_suspected) {
     const Group* group = GroupOf(*request);
     if (group != nullptr) ProbeKeepers(now, *group);
     Event(events_, EventWeight::kState, "keeper_lost")
@@ -219,50 +227,50 @@
         .Add("request", request->statement_id)
         .Add("sent", outcome == ForwardOutcome::kLost ? "yes" : "no");
   }
-  const bool sent = outcome == ForwardOutcome::kLost;
-  if (request->need == Need::kTransaction) {
+  const bool may_have_run = outcome == ForwardOutcome::kLost;
+  if (request->requirement == Requirement::kTransaction) {
     caller->transaction.keeper.clear();
     caller->state = TransactionState::kFailed;
-    if (!sent) caller->transaction.wrote = false;
-    AttemptLost(now, request, 0);
-  } else if (request->writes && !sent) {
+    if (!may_have_run) caller->transaction.wrote = false;
+    OnAttemptLost(now, request, 0);
+  } else if (request->writes && !may_have_run) {
     Dispatch(now, request);
   } else {
-    AttemptLost(now, request, 0);
+    OnAttemptLost(now, request, 0);
   }
 }
 
-void Proxy::Impl::TakeForwardedReply(TimePoint now, Request* request,
-                                     Caller* caller, const std::string& keeper,
-                                     Reply reply) {
+void Proxy::Impl::OnForwardedReply(TimePoint now, Request* request,
+                                   Caller* caller, const std::string& keeper,
+                                   Reply reply) {
   const StatementKind kind = request->statement.kind;
-  const bool begins =
+  const bool is_begin =
       kind == StatementKind::kBegin || kind == StatementKind::kBeginRead;
-  const bool commit = kind == StatementKind::kCommit;
+  const bool is_commit = kind == StatementKind::kCommit;
   request->last_error = reply.error;
-  if (AwaitKeeper(now, request, keeper, reply)) return;
-  if (DetourRefused(now, request, keeper, reply)) return;
+  if (RetryAfterKeeperStart(now, request, keeper, reply)) return;
+  if (RetryRefusedDetour(now, request, keeper, reply)) return;
   if (TryAnotherKeeper(now, request, keeper, reply)) return;
-  if (begins && reply.ok()) {
+  if (is_begin && reply.ok()) {
     OpenTransaction(caller, *request);
     caller->transaction.keeper = keeper;
-  } else if (request->need == Need::kTransaction &&
+  } else if (request->requirement == Requirement::kTransaction &&
              reply.state != TransactionState::kOpen) {
     const bool wrote = caller->transaction.wrote;
     caller->transaction = Transaction();
     caller->state =
-        commit ? TransactionState::kIdle : TransactionState::kFailed;
-    if (commit && wrote && reply.ok()) NoteCommit(now, caller, reply);
-  } else if (request->writes && request->need != Need::kTransaction &&
-             reply.ok()) {
-    NoteCommit(now, caller, reply);
+        is_commit ? TransactionState::kIdle : TransactionState::kFailed;
+    if (is_commit && wrote && reply.ok()) RecordCommit(now, caller, reply);
+  } else if (request->writes &&
+             request->requirement != Requirement::kTransaction && reply.ok()) {
+    RecordCommit(now, caller, reply);
   }
   if (reply.error == ErrorCode::kNotReady) reply.error = ErrorCode::kBusy;
-  Finish(now, request, std::move(reply));
+  FinishRequest(now, request, std::move(reply));
 }
 
-void Proxy::Impl::NoteCommit(TimePoint now, Caller* caller,
-                             const Reply& reply) {
+void Proxy::Impl::RecordCommit(TimePoint now, Caller* caller,
+                               const Reply& reply) {
   if (!reply.position.has_value()) return;
   caller->committed = std::max(caller->committed, *reply.position);
   caller->committed_at = now;
@@ -295,7 +303,7 @@
     adopted.adopted = true;
     caller = &callers_.emplace(id, std::move(adopted)).first->second;
   }
-  if (!AdmitAdopted(forwarded)) {
+  if (!IsAdoptedKeyValid(forwarded)) {
     Reply reply;
     reply.error = ErrorCode::kUnknownKey;
     reply.error_text = "key was taken away";
@@ -307,18 +315,19 @@
   }
   caller->route = forwarded.route.name;
   caller->key = forwarded.key;
-  caller->judged_by = std::max(caller->judged_by, forwarded.config_version);
+  caller->admission_version =
+      std::max(caller->admission_version, forwarded.config_version);
   if (caller->state != TransactionState::kOpen) {
     caller->workspace = forwarded.workspace;
   }
-  caller->fixed_route = std::make_shared<const Route>(forwarded.route);
+  caller->forwarded_route = std::make_shared<const Route>(forwarded.route);
   caller->group = forwarded.route.group;
   caller->committed = forwarded.committed;
   caller->committed_at = now;
   caller->variables = std::move(forwarded.variables);
   caller->prepared.clear();
   for (const auto& [name, prepared] : forwarded.prepared) {
-    caller->prepared[name] = Intern(prepared.writes, prepared.shape);
+    caller->prepared[name] = InternPrepared(prepared.writes, prepared.shape);
   }
   CallerStatement(now, id, forwarded.statement_id,
                   std::move(forwarded.statement));
--- a/src/libcore/session/proxy_identity.cc
+++ b/src/libcore/session/proxy_identity.cc
@@ -13,7 +13,8 @@
 
 /// Finds out to which workspace the caller belongs on this route. False when
 /// its key is not configured: its session has been closed then.
-bool Proxy::Impl::Admit(TimePoint now, const Route& route, Caller* caller) {
+bool Proxy::Impl::AdmitCaller(TimePoint now, const Route& route,
+                              Caller* caller) {
   const Identity identity =
       workspaces_.Identify(route.open_to_all, caller->key);
   if (identity.known) {
@@ -26,7 +27,7 @@
       .Add("database", caller->route)
       .Add("reason", "unknown_key")
       .Add("key_fingerprint", workspace::Fingerprint(caller->key))
-      .Add("config_version", table_.version)
+      .Add("config_version", route_table_.version)
       .Add("config_age", now - routes_confirmed_at_);
   const CallerId id = caller->id;
   CallerGone(now, id);
@@ -36,8 +37,9 @@
 
 /// Whether the caller's key still stands for its workspace. An adopted caller
 /// was judged by the other instance, whose configuration may be the newer one.
-bool Proxy::Impl::StillKnown(const Caller& caller) const {
-  if (caller.adopted && caller.judged_by >= table_.version) return true;
+bool Proxy::Impl::IsKeyValid(const Caller& caller) const {
+  if (caller.adopted && caller.admission_version >= route_table_.version)
+    return true;
   const std::shared_ptr<const Route> route = RouteOf(caller);
   // A route that is gone is told to the caller as such.
   if (route == nullptr || route->open_to_all) return true;
@@ -49,27 +51,28 @@
 void Proxy::Impl::RevokeSessions(TimePoint now) {
   std::vector<RequestId> unsent;
   for (auto& [id, caller] : callers_) {
-    if (caller.revoked || StillKnown(caller)) continue;
+    if (caller.revoked || IsKeyValid(caller)) continue;
     caller.revoked = true;
-    revoked_.insert(id);
+    revoked_callers_.insert(id);
     const Request* request = FindRequest(caller.request);
     Event(events_, EventWeight::kRequest, "session_revoked")
         .Add("caller", id)
         .Add("workspace", caller.workspace)
         .Add("key_fingerprint", workspace::Fingerprint(caller.key))
         .Add("request", request == nullptr ? "" : request->statement_id)
-        .Add("config_version", table_.version);
+        .Add("config_version", route_table_.version);
     if (request == nullptr) continue;
-    const bool sent =
-        !request->running.empty() || !request->forwarded_to.empty() ||
-        request->unconfirmed.has_value() || request->unproved.has_value();
+    const bool sent = !request->running_on.empty() ||
+                      !request->forwarded_to.empty() ||
+                      request->unconfirmed_reply.has_value() ||
+                      request->unproved_reply.has_value();
     if (!sent) unsent.push_back(request->id);
   }
   for (const RequestId id : unsent) {
-    Refuse(now, FindRequest(id), ErrorCode::kUnknownKey,
-           std::chrono::milliseconds(0), "key_dropped");
+    RefuseRequest(now, FindRequest(id), ErrorCode::kUnknownKey,
+                  std::chrono::milliseconds(0), "key_dropped");
   }
-  EndRevoked(now);
+  CloseRevokedSessions(now);
 }
 
 /// The statement came after the key was taken away: its transaction is rolled
@@ -82,14 +85,15 @@
   AnswerLocally(caller, ErrorCode::kUnknownKey, "key was taken away");
 }
 
-void Proxy::Impl::EndRevoked(TimePoint now) {
-  const std::vector<CallerId> ids(revoked_.begin(), revoked_.end());
+void Proxy::Impl::CloseRevokedSessions(TimePoint now) {
+  const std::vector<CallerId> ids(revoked_callers_.begin(),
+                                  revoked_callers_.end());
   for (const CallerId id : ids) {
     const Caller* caller = FindCaller(id);
     if (caller != nullptr && caller->request != 0) continue;
     const bool adopted = caller != nullptr && caller->adopted;
     CallerGone(now, id);
-    revoked_.erase(id);
+    revoked_callers_.erase(id);
     if (adopted) continue;  // told with its next statement
     port_->CloseCaller(id, ErrorCode::kUnknownKey, "key was taken away");
   }
@@ -117,8 +121,8 @@
 
 void Proxy::Impl::RefuseForLimit(TimePoint now, Request* request,
                                  const limits::LimitAnswer& answer) {
-  Refuse(now, request, ErrorCode::kOverLimit, answer.retry_after,
-         answer.unknown ? "limit_unknown" : "over_limit");
+  RefuseRequest(now, request, ErrorCode::kOverLimit, answer.retry_after,
+                answer.unknown ? "limit_unknown" : "over_limit");
 }
 
 void Proxy::Impl::OperationAllowed(TimePoint now, RequestId id) {
@@ -146,16 +150,16 @@
 
 /// Whether another instance's caller may be served here: the newer of the two
 /// configurations decides.
-bool Proxy::Impl::AdmitAdopted(const ForwardedStatement& forwarded) const {
-  if (forwarded.config_version >= table_.version) return true;
+bool Proxy::Impl::IsAdoptedKeyValid(const ForwardedStatement& forwarded) const {
+  if (forwarded.config_version >= route_table_.version) return true;
   if (forwarded.route.open_to_all) return true;
   return workspaces_.StandsFor(forwarded.key, forwarded.workspace);
 }
 
 /// The one place that every statement passes on its way to a database: it never
 /// runs on a connection of another workspace than its caller's.
-bool Proxy::Impl::BelongsTo(TimePoint now, Connection* connection,
-                            Request* request) {
+bool Proxy::Impl::CheckWorkspace(TimePoint now, Connection* connection,
+                                 Request* request) {
   Caller& caller = callers_.at(request->caller);
   if (connection->workspace == caller.workspace) return true;
   Event(events_, EventWeight::kState, "foreign_connection")
@@ -163,8 +167,8 @@
       .Add("workspace", caller.workspace)
       .Add("connection_of", connection->workspace);
   if (caller.state == TransactionState::kOpen) FailTransaction(now, &caller);
-  Refuse(now, request, ErrorCode::kAborted, std::chrono::milliseconds(0),
-         "foreign_connection");
+  RefuseRequest(now, request, ErrorCode::kAborted, std::chrono::milliseconds(0),
+                "foreign_connection");
   return false;
 }
 
--- a/src/libcore/session/proxy_instances.cc
+++ b/src/libcore/session/proxy_instances.cc
@@ -15,22 +15,22 @@
 
 /// How long an instance that kept silent is passed over. Trying it again costs
 /// one statement the time that it has for a sign of life.
-constexpr milliseconds kSuspicion{1000};
+constexpr milliseconds kSuspicionPeriod{1000};
 /// Time for the answer to a probe: two silent keepers may be tried one after
 /// the other until the probes have told which of the rest live.
-constexpr milliseconds kProbeTime{100};
+constexpr milliseconds kProbeTimeout{100};
 /// Cost of another failure domain in the choice of a keeper, in statements
 /// under way there.
-constexpr uint32_t kOtherDomain = 3;
+constexpr uint32_t kOtherDomainCost = 3;
 /// The same for each keeper of the same failure domain that comes before it in
 /// the order for the workspace: statements of one workspace meet where its
 /// connections are, and go on to the next keeper when that one has much to do.
-constexpr uint32_t kNextInOrder = 1;
+constexpr uint32_t kRankCost = 1;
 
 }  // namespace
 
-void Proxy::Impl::SetKeepers(TimePoint now, const std::string& self,
-                             const std::vector<KeeperCandidate>& instances) {
+void Proxy::Impl::SetInstances(TimePoint now, const std::string& self,
+                               const std::vector<KeeperCandidate>& instances) {
   self_ = self;
   if (!have_instances_) instances_since_ = now;
   have_instances_ = true;
@@ -42,44 +42,45 @@
   // Names sort by failure domain, which can fail as a whole.
   std::shuffle(others.begin(), others.end(), std::mt19937_64(settings_.seed));
   isolation_.SetOthers(std::move(others));
-  ChooseAllKeepers(now);
-  PumpAll(now);
+  AssignKeepers(now);
+  ServeAllQueues(now);
 }
 
 void Proxy::Impl::InstanceProbed(TimePoint now, const std::string& instance,
                                  bool alive) {
-  const auto probe = probes_.extract(instance);
+  const auto probe = pending_probes_.extract(instance);
   if (alive) {
-    InstanceHeard(now);
+    RecordPeerContact(now);
     return;
   }
-  InstanceSilent(now, instance, probe.empty() ? TimePoint() : probe.mapped());
+  SuspectInstance(now, instance, probe.empty() ? TimePoint() : probe.mapped());
 }
 
-void Proxy::Impl::InstanceHeard(TimePoint now) {
+void Proxy::Impl::RecordPeerContact(TimePoint now) {
   const TimePoint before = isolation_.heard_at();
   if (!isolation_.Heard(now)) return;
   Event(events_, EventWeight::kState, "in_touch").Add("after", now - before);
 }
 
-void Proxy::Impl::InstanceSilent(TimePoint now, const std::string& instance,
-                                 TimePoint asked) {
-  others_[instance].silent_until = now + kSuspicion;
-  if (!isolation_.Silent(instance, asked)) return;
+void Proxy::Impl::SuspectInstance(TimePoint now, const std::string& instance,
+                                  TimePoint requested_at) {
+  peers_[instance].suspected_until = now + kSuspicionPeriod;
+  if (!isolation_.Silent(instance, requested_at)) return;
   Event(events_, EventWeight::kState, "cut_off")
       .Add("silent", isolation_.silent())
       .Add("instances", instances_.size())
       .Add("last_heard", now - isolation_.heard_at());
 }
 
-bool Proxy::Impl::KeptSilent(TimePoint now, const std::string& instance) const {
-  const auto state = others_.find(instance);
-  return state != others_.end() && now < state->second.silent_until;
+bool Proxy::Impl::IsInstanceSuspected(TimePoint now,
+                                      const std::string& instance) const {
+  const auto state = peers_.find(instance);
+  return state != peers_.end() && now < state->second.suspected_until;
 }
 
 bool Proxy::Impl::IsStarting(TimePoint now, const std::string& instance) const {
-  const auto state = others_.find(instance);
-  return state != others_.end() && now < state->second.starting_until;
+  const auto state = peers_.find(instance);
+  return state != peers_.end() && now < state->second.starting_until;
 }
 
 /// One keeper of the group keeps silent. Whatever took it may have taken others
@@ -88,22 +89,22 @@
 void Proxy::Impl::ProbeKeepers(TimePoint now, const Group& group) {
   for (const KeeperCandidate& keeper : group.keepers) {
     if (keeper.instance == self_) continue;
-    if (KeptSilent(now, keeper.instance)) continue;
+    if (IsInstanceSuspected(now, keeper.instance)) continue;
     ProbeInstance(now, keeper.instance);
   }
 }
 
 void Proxy::Impl::ProbeInstance(TimePoint now, const std::string& instance) {
-  const auto found = probes_.find(instance);
+  const auto found = pending_probes_.find(instance);
   // One whose answer is long overdue went with its stream.
-  const bool under_way =
-      found != probes_.end() && now - found->second < 2 * kProbeTime;
-  if (under_way) return;
-  probes_[instance] = now;
-  forwarder_->Probe(instance, now + kProbeTime);
+  const bool pending =
+      found != pending_probes_.end() && now - found->second < 2 * kProbeTimeout;
+  if (pending) return;
+  pending_probes_[instance] = now;
+  forwarder_->Probe(instance, now + kProbeTimeout);
 }
 
-void Proxy::Impl::MaintainTouch(TimePoint now) {
+void Proxy::Impl::ProbePeers(TimePoint now) {
   if (forwarder_ == nullptr) return;
   for (const std::string& instance : isolation_.ProbesDue(now)) {
     ProbeInstance(now, instance);
@@ -115,7 +116,7 @@
 /// at one moment, after a loss of power, opens a connection from every instance
 /// to every database; each takes a slot for a while, beyond the limit the
 /// database resets them, and callers wait for all of it.
-void Proxy::Impl::ChooseAllKeepers(TimePoint now) {
+void Proxy::Impl::AssignKeepers(TimePoint now) {
   if (!have_instances_) return;
   for (auto& [name, group] : groups_) {
     const size_t count =
@@ -123,23 +124,24 @@
                     workspaces_.keys_required());
     std::vector<KeeperCandidate> keepers;
     if (count > 0) keepers = ChooseKeepers(name, instances_, count);
-    const bool among = std::any_of(
+    const bool selected = std::any_of(
         keepers.begin(), keepers.end(),
         [this](const KeeperCandidate& each) { return each.instance == self_; });
-    const bool kept = count == 0 || among;
-    if (kept != group->kept) {
-      Event(events_, EventWeight::kState, kept ? "group_kept" : "group_left")
+    const bool is_keeper = count == 0 || selected;
+    if (is_keeper != group->is_keeper) {
+      Event(events_, EventWeight::kState,
+            is_keeper ? "group_kept" : "group_left")
           .Add("group", name)
           .Add("keepers", keepers.size())
           .Add("instances", instances_.size());
     }
-    group->kept = kept;
+    group->is_keeper = is_keeper;
     group->keepers = std::move(keepers);
-    group->keepers_of_domain.clear();
+    group->keepers_by_domain.clear();
     for (const KeeperCandidate& each : group->keepers) {
-      group->keepers_of_domain[each.failure_domain].push_back(each);
+      group->keepers_by_domain[each.failure_domain].push_back(each);
     }
-    if (kept) OpenFirst(now, *group);
+    if (is_keeper) OpenStandbyConnections(now, *group);
   }
 }
 
@@ -154,26 +156,26 @@
   const std::string& workspace = callers_.at(request.caller).workspace;
   for (size_t i = 0; i < count; ++i) {
     const KeeperCandidate& keeper = group.keepers[(i + request.caller) % count];
-    const auto& refused = request.turned_down;
+    const auto& refused = request.rejected_by;
     if (std::count(refused.begin(), refused.end(), keeper.instance) > 0) {
       continue;
     }
-    const auto state = others_.find(keeper.instance);
+    const auto state = peers_.find(keeper.instance);
     uint32_t cost = 0;
-    if (state != others_.end()) {
-      if (KeptSilent(now, keeper.instance)) continue;
+    if (state != peers_.end()) {
+      if (IsInstanceSuspected(now, keeper.instance)) continue;
       if (IsStarting(now, keeper.instance)) continue;
-      if (NoPrimaryThere(now, request, group, state->second)) continue;
-      cost = state->second.under_way;
+      if (LacksPrimary(now, request, group, state->second)) continue;
+      cost = state->second.forwards_in_flight;
     }
     if (keeper.failure_domain != settings_.failure_domain) {
-      cost += kOtherDomain;
+      cost += kOtherDomainCost;
     }
     if (!workspace.empty()) {
-      const auto& neighbours =
-          group.keepers_of_domain.at(keeper.failure_domain);
-      cost += kNextInOrder * static_cast<uint32_t>(RankAmong(
-                                 workspace, keeper.instance, neighbours));
+      const auto& domain_keepers =
+          group.keepers_by_domain.at(keeper.failure_domain);
+      cost += kRankCost * static_cast<uint32_t>(RankAmong(
+                              workspace, keeper.instance, domain_keepers));
     }
     if (best != nullptr && cost >= best_cost) continue;
     best = &keeper;
@@ -183,10 +185,10 @@
 }
 
 /// Whether the statement needs a primary that the keeper is known not to reach.
-bool Proxy::Impl::NoPrimaryThere(TimePoint now, const Request& request,
-                                 const Group& group,
-                                 const InstanceState& keeper) const {
-  if (request.need == Need::kCoveredRead) return false;
+bool Proxy::Impl::LacksPrimary(TimePoint now, const Request& request,
+                               const Group& group,
+                               const InstanceState& keeper) const {
+  if (request.requirement == Requirement::kReadAtPosition) return false;
   const auto found = keeper.no_primary_until.find(group.name);
   return found != keeper.no_primary_until.end() && now < found->second;
 }
@@ -195,21 +197,22 @@
 /// without any of its keepers. It then opens a connection of its own: keepers
 /// leave a part of those that a database takes, and it needs one for a moment.
 /// Its callers would be refused for as long as the partition lasts.
-bool Proxy::Impl::MayRunAlone(TimePoint now, const Request& request,
-                              const Group& group) const {
+bool Proxy::Impl::MayRunLocally(TimePoint now, const Request& request,
+                                const Group& group) const {
   const bool none_in_reach =
       std::all_of(group.keepers.begin(), group.keepers.end(),
                   [this, now](const KeeperCandidate& each) {
-                    return KeptSilent(now, each.instance);
+                    return IsInstanceSuspected(now, each.instance);
                   });
   if (!none_in_reach || !have_instances_) return false;
-  if (request.need != Need::kCoveredRead) {
+  if (request.requirement != Requirement::kReadAtPosition) {
     const auto primary = databases_.find(group.primary);
-    return primary != databases_.end() && MayAnswer(now, primary->second);
+    return primary != databases_.end() &&
+           MayAcceptConnection(now, primary->second);
   }
   return std::any_of(group.databases.begin(), group.databases.end(),
                      [this, now](const std::string& id) {
-                       return MayAnswer(now, databases_.at(id));
+                       return MayAcceptConnection(now, databases_.at(id));
                      });
 }
 
--- a/src/libcore/session/proxy_leadership.cc
+++ b/src/libcore/session/proxy_leadership.cc
@@ -15,41 +15,41 @@
 using std::chrono::milliseconds;
 
 /// Pace of asking all databases who leads while nobody is known to.
-constexpr milliseconds kSearchPace{120};
+constexpr milliseconds kPrimarySearchInterval{120};
 /// The same while a promotion is under way: statements wait for its end.
-constexpr milliseconds kExpectingPace{40};
+constexpr milliseconds kPromotionSearchInterval{40};
 /// How long an announced promotion is waited for: it takes about a second.
-constexpr milliseconds kExpectFor{2500};
+constexpr milliseconds kPromotionTimeout{2500};
 /// A group without statements for this long is not probed.
-constexpr milliseconds kGroupIdle{2000};
+constexpr milliseconds kGroupIdleTimeout{2000};
 /// The lead is probed when the newest mark is this much short of the age that
 /// the strictest route allows, so that replicas can go on serving its reads.
 /// It is the time that a probe and its proof take beside busy databases.
 /// Statements on the primary renew marks for nothing; probes fill the gaps
 /// between them.
-constexpr milliseconds kProbeTime{500};
+constexpr milliseconds kMarkRenewalMargin{500};
 /// Marks are not renewed more often for routes that allow next to nothing:
 /// their reads go to the primary.
-constexpr milliseconds kLeastMarkAge{300};
+constexpr milliseconds kMinMarkAge{300};
 /// Silence of a primary after which it is asked on one connection beyond those
 /// that may be open. Well above the time that a busy one takes, since each
 /// opening takes a slot of it.
-constexpr milliseconds kAskAnewAfter{500};
+constexpr milliseconds kExtraProbeAfter{500};
 
 }  // namespace
 
 /// The database has accepted what only a primary accepts. Whether it still led
 /// is for others to prove. False when its term is known to be over.
-bool Proxy::Impl::Claimed(TimePoint now, Group* group,
-                          const std::string& database, TimePoint sent,
-                          const LogPosition& position) {
+bool Proxy::Impl::RecordClaim(TimePoint now, Group* group,
+                              const std::string& database, TimePoint sent_at,
+                              const LogPosition& position) {
   // The position shows the term of the last commit. That the database leads a
   // newer one is known from its status.
   const DatabaseState* state = FindDatabase(database);
-  const uint64_t led = state == nullptr ? 0 : state->status.term;
-  const uint64_t term = std::max(led, position.term);
+  const uint64_t status_term = state == nullptr ? 0 : state->status.term;
+  const uint64_t term = std::max(status_term, position.term);
   if (term < group->term) {
-    Deposed(now, group, database, "goes on under an old term");
+    MarkDeposed(now, group, database, "goes on under an old term");
     return false;
   }
   if (group->primary != database) {
@@ -59,22 +59,23 @@
         .Add("term", term)
         .Add("previous", group->primary)
         .Add("source", "answer")
-        .Add("age", now - sent);
+        .Add("age", now - sent_at);
     group->primary = database;
   }
   const bool newer = term > group->term;
   group->term = term;
   if (newer) SettleCommits(now, group);
-  group->proved_at = std::max(group->proved_at, sent);
+  group->proved_at = std::max(group->proved_at, sent_at);
   group->deposed.erase(database);
   if (group->expected_primary == database) group->expected_primary.clear();
-  group->proof.Claimed(database, term, sent, position);
+  group->proof.Claimed(database, term, sent_at, position);
   SettleProofs(now, group);
   return true;
 }
 
-void Proxy::Impl::Deposed(TimePoint now, Group* group,
-                          const std::string& database, const std::string& why) {
+void Proxy::Impl::MarkDeposed(TimePoint now, Group* group,
+                              const std::string& database,
+                              const std::string& why) {
   group->deposed.insert(database);
   if (group->primary != database) return;
   Event(events_, EventWeight::kState, "primary_lost")
@@ -84,41 +85,41 @@
       .Add("reason", why)
       .Add("proved", now - group->proved_at);
   group->primary.clear();
-  AdoptClaims(now, group);
+  AdoptNewestClaim(now, group);
   if (group->primary.empty()) ProbeGroup(now, group);
 }
 
 /// Whether the group's primary has said itself that it leads the newest term
 /// that is known.
-bool Proxy::Impl::KnownByItsWord(const Group& group) const {
+bool Proxy::Impl::PrimaryClaimsNewestTerm(const Group& group) const {
   return !group.primary.empty() && group.proof.leader() == group.primary &&
          group.proof.term() == group.term;
 }
 
 /// `database` knows the term. If it is newer than that of the primary, which is
 /// known by its own word, that one has been replaced and goes on.
-void Proxy::Impl::NoteTerm(TimePoint now, Group* group,
-                           const std::string& database, uint64_t term) {
+void Proxy::Impl::ObserveTerm(TimePoint now, Group* group,
+                              const std::string& database, uint64_t term) {
   if (term <= group->term || database == group->primary) return;
-  if (!KnownByItsWord(*group)) return;
+  if (!PrimaryClaimsNewestTerm(*group)) return;
   // It may be the new term's primary itself: one that began to claim the lead
   // after it last told its term is asked first. Giving it up at once would turn
   // statements away for a moment of each failover.
   DatabaseState* primary = FindDatabase(group->primary);
   const bool may_be_newer =
-      primary != nullptr && primary->status_from < primary->claims_since;
+      primary != nullptr && primary->status_as_of < primary->claims_since;
   if (may_be_newer) {
-    AskStatus(now, primary, /*beyond_cap=*/false);
+    RequestStatus(now, primary, /*beyond_cap=*/false);
     return;
   }
   group->term = term;
-  Deposed(now, group, group->primary, "a newer term is known");
+  MarkDeposed(now, group, group->primary, "a newer term is known");
 }
 
 /// Takes the database that was the last to claim that it leads, unless it has
 /// refused since. The list is read in lumps; of two whose claims came together
 /// neither is taken.
-void Proxy::Impl::AdoptClaims(TimePoint now, Group* group) {
+void Proxy::Impl::AdoptNewestClaim(TimePoint now, Group* group) {
   const DatabaseState* claimant = nullptr;
   bool tied = false;
   for (const std::string& id : group->databases) {
@@ -148,29 +149,28 @@
   group->primary = id;
 }
 
-void Proxy::Impl::StatusArrived(TimePoint now, Group* group,
-                                DatabaseState* database, TimePoint asked,
-                                const StatusReport& report) {
-  if (asked < database->status_from) return;
-  if (asked < database->status_not_before) return;
+void Proxy::Impl::OnStatus(TimePoint now, Group* group, DatabaseState* database,
+                           TimePoint requested_at, const StatusReport& report) {
+  if (requested_at < database->status_as_of) return;
+  if (requested_at < database->status_valid_after) return;
   database->status = report;
-  database->status_from = asked;
+  database->status_as_of = requested_at;
   const std::string& id = database->info.id;
-  group->proof.Told(id, asked, report.term);
+  group->proof.Told(id, requested_at, report.term);
   if (!report.primary) {
-    NoteTerm(now, group, id, report.term);
+    ObserveTerm(now, group, id, report.term);
   } else if (report.term >= group->term) {
-    group->proof.Claimed(id, report.term, asked, report.received);
+    group->proof.Claimed(id, report.term, requested_at, report.received);
   }
   SettleCommits(now, group);
   SettleProofs(now, group);
   // It was asked before what has to be proved by now. One that was asked later
   // and proves nothing is asked again at the pace of those that wait, or its
   // answers would follow each other as fast as the network allows.
-  const bool too_early = asked < group->proof_wanted;
-  if (too_early && ProofWanted(*group)) AskReplicas(now, group);
+  const bool too_early = requested_at < group->proof_required_at;
+  if (too_early && NeedsProof(*group)) PollReplicas(now, group);
   if (!report.primary) {
-    if (group->primary == id) Deposed(now, group, id, "is a replica");
+    if (group->primary == id) MarkDeposed(now, group, id, "is a replica");
     return;
   }
   if (report.term < group->term || group->primary == id) return;
@@ -182,46 +182,47 @@
       .Add("term", report.term)
       .Add("previous", group->primary)
       .Add("source", "status")
-      .Add("age", now - asked);
+      .Add("age", now - requested_at);
   group->primary = id;
   group->term = report.term;
   group->deposed.erase(id);
   SettleCommits(now, group);
   SettleProofs(now, group);
-  Pump(now, group);
+  ServeQueues(now, group);
 }
 
 void Proxy::Impl::ExpectPrimary(TimePoint now, Group* group,
                                 const std::string& database) {
   group->expected_primary = database;
-  group->expected_until = now + kExpectFor;
+  group->expected_until = now + kPromotionTimeout;
   group->deposed.erase(database);
 }
 
 /// How old the newest mark may become before the lead is probed.
-milliseconds Proxy::Impl::MarkAge(const Group& group) const {
+milliseconds Proxy::Impl::MaxMarkAge(const Group& group) const {
   milliseconds strictest = milliseconds::max();
   for (const std::shared_ptr<const Route>& route : group.routes) {
     if (route->freshness == Freshness::kPrimary) continue;
     strictest = std::min(strictest, route->max_staleness);
   }
-  return std::max(strictest - kProbeTime, kLeastMarkAge);
+  return std::max(strictest - kMarkRenewalMargin, kMinMarkAge);
 }
 
 /// Connections can fall silent all at once, each with a statement on it, while
 /// new ones work. With as many as may be open the primary would seem lost until
 /// they are given up; one more finds out, and then serves.
-bool Proxy::Impl::AskAnew(TimePoint now, DatabaseState* primary) {
+bool Proxy::Impl::ProbeUnresponsivePrimary(TimePoint now,
+                                           DatabaseState* primary) {
   if (primary == nullptr || !primary->pool.idle().empty()) return false;
   if (primary->silent_since == TimePoint()) return false;
-  if (now - primary->silent_since < kAskAnewAfter) return false;
-  AskStatus(now, primary, /*beyond_cap=*/true);
+  if (now - primary->silent_since < kExtraProbeAfter) return false;
+  RequestStatus(now, primary, /*beyond_cap=*/true);
   return true;
 }
 
 /// Renews the mark that covers reads on replicas: a begin is answered without
 /// a slot, and only by a database that takes itself for the primary.
-void Proxy::Impl::ProbeLead(TimePoint now, Group* group) {
+void Proxy::Impl::ProbeLeadership(TimePoint now, Group* group) {
   DatabaseState* database = FindDatabase(group->primary);
   if (database == nullptr) return;
   const std::optional<ConnectionId> idle = database->pool.newest_idle();
@@ -232,42 +233,43 @@
   begin.kind = CallKind::kBegin;
   BackendCall end;
   end.kind = CallKind::kRollback;
-  SendOwn(now, connection, {begin, end},
-          {ExpectedKind::kProof, ExpectedKind::kEnd});
-  WantProof(now, group, now);
+  SendInternalCalls(now, connection, {begin, end},
+                    {PendingCallKind::kProof, PendingCallKind::kProxyRollback});
+  RequestProof(now, group, now);
 }
 
 void Proxy::Impl::MaintainLeadership(TimePoint now, Group* group) {
-  const bool used = now - group->used_at < kGroupIdle;
+  const bool used = now - group->last_used_at < kGroupIdleTimeout;
   const bool expecting =
       !group->expected_primary.empty() && now < group->expected_until;
   DatabaseState* primary = FindDatabase(group->primary);
   // Its successor is about to lead, and it does not answer: statements wait for
   // the successor instead. Not when it is the successor: the word that it was
   // about to lead outlasts the moment from which it leads.
-  const bool replaced = expecting && group->primary != group->expected_primary;
-  if (replaced && primary != nullptr && Suspect(now, *primary)) {
-    Deposed(now, group, group->primary, "silent, another is about to lead");
+  const bool superseded =
+      expecting && group->primary != group->expected_primary;
+  if (superseded && primary != nullptr && IsDatabaseSuspected(now, *primary)) {
+    MarkDeposed(now, group, group->primary, "silent, another is about to lead");
   }
   if (group->primary.empty()) {
-    AdoptClaims(now, group);
+    AdoptNewestClaim(now, group);
     if (group->primary.empty() && (used || expecting) &&
         now >= group->probe_not_before) {
       group->probe_not_before =
-          now + (expecting ? kExpectingPace : kSearchPace);
+          now + (expecting ? kPromotionSearchInterval : kPrimarySearchInterval);
       ProbeGroup(now, group);
     }
     return;
   }
   if (!used || now < group->probe_not_before) return;
-  if (AskAnew(now, primary)) {
-    group->probe_not_before = now + kSearchPace;
+  if (ProbeUnresponsivePrimary(now, primary)) {
+    group->probe_not_before = now + kPrimarySearchInterval;
     return;
   }
   const auto newest = group->watermarks.newest();
-  if (newest.has_value() && now - newest->at < MarkAge(*group)) return;
-  group->probe_not_before = now + kSearchPace;
-  ProbeLead(now, group);
+  if (newest.has_value() && now - newest->at < MaxMarkAge(*group)) return;
+  group->probe_not_before = now + kPrimarySearchInterval;
+  ProbeLeadership(now, group);
 }
 
 }  // namespace ryefold::core::session
--- a/src/libcore/session/proxy_placing.cc
+++ b/src/libcore/session/proxy_placing.cc
@@ -12,41 +12,41 @@
 
 /// Retry hint while no database of a group is known: about the pace at which
 /// the platform's list is read.
-constexpr milliseconds kNoDatabaseRetry{500};
+constexpr milliseconds kNoDatabaseRetryAfter{500};
 /// Retry hint while no primary is in reach: promoting takes about a second.
-constexpr milliseconds kNoPrimaryRetry{500};
+constexpr milliseconds kNoPrimaryRetryAfter{500};
 /// Silence after which a read is also sent elsewhere: several times what the
 /// database usually takes, so that few reads run twice, within these bounds.
 /// A lost answer otherwise shows only when the statement times out.
-constexpr int kHedgeFactor = 4;
-constexpr milliseconds kLeastHedge{80};
-constexpr milliseconds kMostHedge{400};
+constexpr int kHedgeLatencyFactor = 4;
+constexpr milliseconds kMinHedgeDelay{80};
+constexpr milliseconds kMaxHedgeDelay{400};
 /// Bounds that keep the estimate of the service rate finite: no statement is
 /// faster, and with nothing in service one is still let in to find out.
-constexpr double kLeastHold = 0.002;
-constexpr double kLeastRate = 2;
+constexpr double kMinHoldSeconds = 0.002;
+constexpr double kMinRatePerSecond = 2;
 /// A replica further behind than this serves few of the reads there are;
 /// routes allow one and a half to two and a half seconds.
-constexpr milliseconds kMostUsefulLag{1400};
+constexpr milliseconds kMaxUsefulLag{1400};
 /// Part of the primary that reads which replicas can serve may count on.
-constexpr double kReadPartOfPrimary = 0.5;
+constexpr double kPrimaryReadShare = 0.5;
 /// Pause before a read that could not be sent elsewhere is tried again: about
 /// what a new connection takes.
-constexpr milliseconds kHedgeRetry{25};
+constexpr milliseconds kHedgeRetryInterval{25};
 /// Times that a read is sent once more since no answer came.
 constexpr uint32_t kMaxHedges = 3;
 /// Names that one connection keeps prepared before it is cleared. Databases
 /// hold them in memory for each connection.
-constexpr size_t kMaxPrepared = 100;
+constexpr size_t kMaxPreparedPerConnection = 100;
 /// Classes of workspaces within one class of routes.
-constexpr uint32_t kWorkspaceClasses = 16;
+constexpr uint32_t kWorkspacePriorities = 16;
 /// Prefix of prepared names on connections.
 constexpr const char* kPreparedPrefix = "p";
 
 milliseconds HedgeDelay(const DatabaseState& database) {
   const auto usual = std::chrono::duration_cast<milliseconds>(
-      database.latency.mean() * kHedgeFactor);
-  return std::clamp(usual + kLeastHedge / 2, kLeastHedge, kMostHedge);
+      database.latency.mean() * kHedgeLatencyFactor);
+  return std::clamp(usual + kMinHedgeDelay / 2, kMinHedgeDelay, kMaxHedgeDelay);
 }
 
 std::string PreparedName(const Prepared& prepared) {
@@ -67,67 +67,75 @@
 }
 
 admission::Queue* Proxy::Impl::QueueOf(Group* group, const Request& request) {
-  const bool any = request.need == Need::kCoveredRead;
-  return any ? &group->read_queue : &group->primary_queue;
+  const bool is_replica_read =
+      request.requirement == Requirement::kReadAtPosition;
+  return is_replica_read ? &group->read_queue : &group->primary_queue;
 }
 
 /// Counts a statement that asks to be served for the first time. A line that is
 /// new gets its class before anything of it is queued.
-void Proxy::Impl::NoteDemand(TimePoint now, Group* group,
-                             const Request& request) {
+void Proxy::Impl::RecordDemand(TimePoint now, Group* group,
+                               const Request& request) {
   if (request.attempts > 0) return;
-  group->demand.Arrived(now, request.line);
+  group->demand.Arrived(now, request.queue_key);
   const Caller& caller = callers_.at(request.caller);
   const workspace::WorkspaceRef workspace = workspaces_.Find(caller.workspace);
-  const uint32_t within = workspace == nullptr ? 0 : workspace->priority;
-  const uint32_t priority = request.route->priority * kWorkspaceClasses +
-                            std::min(within, kWorkspaceClasses - 1);
-  const auto [line, added] = group->lines.try_emplace(request.line, priority);
-  if (!added && line->second == priority) return;
-  line->second = priority;
-  group->weigh_at = now;
+  const uint32_t workspace_priority =
+      workspace == nullptr ? 0 : workspace->priority;
+  const uint32_t priority =
+      request.route->priority * kWorkspacePriorities +
+      std::min(workspace_priority, kWorkspacePriorities - 1);
+  const auto [registered, added] =
+      group->queue_priorities.try_emplace(request.queue_key, priority);
+  if (!added && registered->second == priority) return;
+  registered->second = priority;
+  group->next_weight_update = now;
 }
 
 void Proxy::Impl::Dispatch(TimePoint now, Request* request) {
   if (callers_.at(request->caller).revoked) {
-    Refuse(now, request, ErrorCode::kUnknownKey, milliseconds(0),
-           "key_dropped");
+    RefuseRequest(now, request, ErrorCode::kUnknownKey, milliseconds(0),
+                  "key_dropped");
     return;
   }
   Group* group = GroupOf(*request);
-  const bool elsewhere = group != nullptr && !group->kept &&
-                         forwarder_ != nullptr &&
-                         !callers_.at(request->caller).adopted;
-  if (elsewhere && ForwardToAny(now, request, *group)) return;
+  const bool may_forward = group != nullptr && !group->is_keeper &&
+                           forwarder_ != nullptr &&
+                           !callers_.at(request->caller).adopted;
+  if (may_forward && ForwardToKeeper(now, request, *group)) return;
   const bool adopted = callers_.at(request->caller).adopted;
   // Whoever has forwarded it may know of another instance that gets further.
   const ErrorCode no_primary =
       adopted ? ErrorCode::kReadOnly : ErrorCode::kBusy;
-  if (adopted && !Informed()) {
-    Refuse(now, request, ErrorCode::kNotReady, kNoDatabaseRetry, "not_ready");
+  if (adopted && !IsInitialized()) {
+    RefuseRequest(now, request, ErrorCode::kNotReady, kNoDatabaseRetryAfter,
+                  "not_ready");
     return;
   }
   if (group == nullptr || group->databases.empty()) {
-    Refuse(now, request, no_primary, kNoDatabaseRetry, "no_database");
+    RefuseRequest(now, request, no_primary, kNoDatabaseRetryAfter,
+                  "no_database");
     return;
   }
-  group->used_at = now;
-  NoteDemand(now, group, *request);
-  if (request->writes && WritesHeld(*request)) {
+  group->last_used_at = now;
+  RecordDemand(now, group, *request);
+  if (request->writes && AreWritesHeld(*request)) {
     if (TryDetour(now, request, group)) return;
-    RefuseHeld(now, request, no_primary);
+    RefuseHeldWrite(now, request, no_primary);
     return;
   }
   const bool detoured = adopted && group->keepers.empty();
-  const bool doubtful = NeedsLead(*request, *group) && LeadInDoubt(now, *group);
-  if (doubtful && TryDetour(now, request, group)) return;
-  if (doubtful) {
-    Refuse(now, request, no_primary, kNoPrimaryRetry, "lead_in_doubt");
+  const bool in_doubt =
+      NeedsLeadership(*request, *group) && IsLeadershipInDoubt(now, *group);
+  if (in_doubt && TryDetour(now, request, group)) return;
+  if (in_doubt) {
+    RefuseRequest(now, request, no_primary, kNoPrimaryRetryAfter,
+                  "lead_in_doubt");
     return;
   }
-  if (detoured && request->need != Need::kCoveredRead &&
-      (group->primary.empty() || PrimaryOutOfReach(now, *group))) {
-    Refuse(now, request, no_primary, kNoPrimaryRetry, "no_primary");
+  if (detoured && request->requirement != Requirement::kReadAtPosition &&
+      (group->primary.empty() || IsPrimaryUnreachable(now, *group))) {
+    RefuseRequest(now, request, no_primary, kNoPrimaryRetryAfter, "no_primary");
     return;
   }
   admission::Queue* queue = QueueOf(group, *request);
@@ -135,15 +143,15 @@
 
   admission::Ticket ticket;
   ticket.tag = request->id;
-  ticket.workspace = request->line;
-  ticket.enqueued = request->arrived;
-  ticket.deadline =
-      now < request->goal_at ? request->goal_at : request->timeout_at;
+  ticket.workspace = request->queue_key;
+  ticket.enqueued = request->arrived_at;
+  ticket.deadline = now < request->goal_deadline ? request->goal_deadline
+                                                 : request->timeout_at;
   request->queued = true;
-  if (now >= group->weigh_at) SetPolicies(now, group);
+  if (now >= group->next_weight_update) UpdateQueueShares(now, group);
   UpdateRates(now, group);
   RefuseAll(now, queue->Push(now, std::move(ticket)));
-  Pump(now, group);
+  ServeQueues(now, group);
 }
 
 void Proxy::Impl::RefuseAll(TimePoint now,
@@ -153,24 +161,24 @@
     if (request == nullptr) continue;
     request->queued = false;
     const bool late = refusal.reason == Reason::kDeadline;
-    Refuse(now, request, ErrorCode::kBusy, refusal.retry_after,
-           late ? "not_in_time" : "overloaded");
+    RefuseRequest(now, request, ErrorCode::kBusy, refusal.retry_after,
+                  late ? "not_in_time" : "overloaded");
   }
 }
 
-void Proxy::Impl::PumpAll(TimePoint now) {
-  for (auto& [name, group] : groups_) Pump(now, group.get());
+void Proxy::Impl::ServeAllQueues(TimePoint now) {
+  for (auto& [name, group] : groups_) ServeQueues(now, group.get());
 }
 
 /// Statements a second that this instance can run on the database: by Little's
 /// law, the connections it has there over the time that each stays taken.
 double Proxy::Impl::ServiceRate(TimePoint now,
                                 const DatabaseState& database) const {
-  if (database.info.draining || Suspect(now, database)) return 0;
+  if (database.info.draining || IsDatabaseSuspected(now, database)) return 0;
   const uint32_t open = database.pool.size() - database.pool.opening();
-  const double hold =
-      std::chrono::duration<double>(database.hold.mean()).count();
-  return std::max(open, 1U) / std::max(hold, kLeastHold);
+  const double hold_seconds =
+      std::chrono::duration<double>(database.hold_time.mean()).count();
+  return std::max(open, 1U) / std::max(hold_seconds, kMinHoldSeconds);
 }
 
 void Proxy::Impl::UpdateRates(TimePoint now, Group* group) {
@@ -179,24 +187,24 @@
   for (const std::string& id : group->databases) {
     const DatabaseState& database = databases_.at(id);
     const bool leads = id == group->primary;
-    const bool far_behind = database.lag.bound() > kMostUsefulLag;
+    const bool far_behind = database.lag.bound() > kMaxUsefulLag;
     if (!leads && far_behind) continue;
     (leads ? primary : replicas) += ServiceRate(now, database);
   }
-  group->primary_queue.SetRate(std::max(primary, kLeastRate));
+  group->primary_queue.SetRate(std::max(primary, kMinRatePerSecond));
   group->read_queue.SetRate(
-      std::max(replicas + primary * kReadPartOfPrimary, kLeastRate));
+      std::max(replicas + primary * kPrimaryReadShare, kMinRatePerSecond));
 }
 
-void Proxy::Impl::Pump(TimePoint now, Group* group) {
+void Proxy::Impl::ServeQueues(TimePoint now, Group* group) {
   if (group->primary_queue.size() + group->read_queue.size() == 0) return;
-  if (now >= group->weigh_at) SetPolicies(now, group);
+  if (now >= group->next_weight_update) UpdateQueueShares(now, group);
   UpdateRates(now, group);
-  PumpQueue(now, &group->primary_queue);
-  PumpQueue(now, &group->read_queue);
+  ServeQueue(now, &group->primary_queue);
+  ServeQueue(now, &group->read_queue);
 }
 
-void Proxy::Impl::PumpQueue(TimePoint now, admission::Queue* queue) {
+void Proxy::Impl::ServeQueue(TimePoint now, admission::Queue* queue) {
   if (queue->size() == 0) return;
   RefuseAll(now, queue->Expire(now));
   const auto place = [this, now](const admission::Ticket& ticket) {
@@ -214,7 +222,7 @@
 bool Proxy::Impl::TryPlace(TimePoint now, Request* request) {
   Group* group = GroupOf(*request);
   if (group == nullptr) return false;
-  if (request->need == Need::kCoveredRead) {
+  if (request->requirement == Requirement::kReadAtPosition) {
     return PlaceOnAny(now, request, group);
   }
   return PlaceOnPrimary(now, request, group);
@@ -224,25 +232,27 @@
                                  Group* group) {
   if (TryDetour(now, request, group)) return true;
   DatabaseState* database = FindDatabase(group->primary);
-  if (database == nullptr || !TakesWork(now, *database)) return false;
-  Connection* connection = Acquire(now, database, callers_.at(request->caller));
+  if (database == nullptr || !AcceptsWork(now, *database)) return false;
+  Connection* connection =
+      AcquireConnection(now, database, callers_.at(request->caller));
   if (connection == nullptr) return false;
   // Where older data will do, the begin asks for a position that covers it, and
   // the transaction's reads need no question to another database.
   const bool begins = request->statement.kind == StatementKind::kBegin;
-  const bool old_will_do = request->route->freshness != Freshness::kPrimary;
-  Send(now, connection, request,
-       begins && old_will_do ? NeededMark(*request, *group) : std::nullopt);
+  const bool accepts_stale = request->route->freshness != Freshness::kPrimary;
+  SendStatement(
+      now, connection, request,
+      begins && accepts_stale ? RequiredMark(*request, *group) : std::nullopt);
   return true;
 }
 
 /// The position that the serving log has to hold, or nothing when no mark is
 /// young enough: then only a primary that proves its lead will do.
-std::optional<Watermarks::Mark> Proxy::Impl::NeededMark(
+std::optional<Watermarks::Mark> Proxy::Impl::RequiredMark(
     const Request& request, const Group& group) const {
   const Route& route = *request.route;
   std::optional<Watermarks::Mark> mark =
-      group.watermarks.Covering(request.arrived - route.max_staleness);
+      group.watermarks.Covering(request.arrived_at - route.max_staleness);
   if (!mark.has_value()) return std::nullopt;
   if (route.freshness != Freshness::kSession) return mark;
   const Caller& caller = callers_.at(request.caller);
@@ -264,12 +274,12 @@
   for (size_t i = 0; i < group.databases.size(); ++i) {
     const DatabaseState& database = databases_.at(group.databases[i]);
     const bool primary = group.primary == database.info.id;
-    if (!TakesWork(now, database)) continue;
+    if (!AcceptsWork(now, database)) continue;
     if (!database.pool.HasIdle(workspace) &&
         !MayOpenFor(now, database, workspace)) {
       continue;
     }
-    const auto& refused = request.turned_down;
+    const auto& refused = request.rejected_by;
     if (!primary &&
         std::count(refused.begin(), refused.end(), database.info.id) > 0) {
       continue;
@@ -279,9 +289,10 @@
     candidate.primary = primary;
     candidate.same_domain =
         database.info.failure_domain == settings_.failure_domain;
-    candidate.expected_to_hold = primary || database.known >= mark.position ||
+    candidate.expected_to_hold = primary ||
+                                 database.applied_position >= mark.position ||
                                  database.lag.Expects(now, age);
-    candidate.suspect = Suspect(now, database);
+    candidate.suspect = IsDatabaseSuspected(now, database);
     candidate.in_flight = database.in_flight;
     candidate.latency = database.latency.mean();
     if (!candidate.expected_to_hold && !group.primary.empty()) continue;
@@ -295,35 +306,35 @@
 }
 
 bool Proxy::Impl::PlaceOnAny(TimePoint now, Request* request, Group* group) {
-  const auto mark = NeededMark(*request, *group);
+  const auto mark = RequiredMark(*request, *group);
   if (!mark.has_value()) return PlaceOnPrimary(now, request, group);
   const Caller& caller = callers_.at(request->caller);
   const std::vector<std::string> order =
       ReadOrder(now, *request, *group, *mark);
   for (const std::string& id : order) {
     DatabaseState* database = FindDatabase(id);
-    Connection* connection = TakeIdle(now, database, caller);
+    Connection* connection = TakeIdleConnection(now, database, caller);
     if (connection == nullptr) continue;
-    Send(now, connection, request, mark);
+    SendStatement(now, connection, request, mark);
     return true;
   }
   // No connection is free anywhere: open one where it is wanted most, unless
   // one is about to open already.
-  const bool soon = std::any_of(
+  const bool opening_soon = std::any_of(
       group->databases.begin(), group->databases.end(),
       [this, now, &caller](const std::string& id) {
         return databases_.at(id).pool.OpensSoon(now, caller.workspace);
       });
-  if (order.empty() || soon) return false;
-  Acquire(now, FindDatabase(order.front()), caller);
+  if (order.empty() || opening_soon) return false;
+  AcquireConnection(now, FindDatabase(order.front()), caller);
   return false;
 }
 
 /// Brings to the connection what the session has set and prepared, before the
 /// statement that relies on it. What another session left behind is cleared.
-void Proxy::Impl::Synchronize(TimePoint now, Connection* connection,
-                              const Caller& caller, const Request& request,
-                              std::vector<BackendCall>* calls) {
+void Proxy::Impl::SyncSessionState(TimePoint now, Connection* connection,
+                                   const Caller& caller, const Request& request,
+                                   std::vector<BackendCall>* calls) {
   const auto add = [&](CallKind kind, const std::string& name,
                        const std::string& text, bool writes) {
     BackendCall call;
@@ -332,15 +343,15 @@
     call.text = text;
     call.writes = writes;
     calls->push_back(std::move(call));
-    connection->expected.push_back({ExpectedKind::kSync, 0, now, {}});
+    connection->pending_calls.push_back({PendingCallKind::kSync, 0, now, {}});
   };
-  const bool foreign =
+  const bool has_foreign_variable =
       std::any_of(connection->variables.begin(), connection->variables.end(),
                   [&caller](const auto& entry) {
                     return caller.variables.count(entry.first) == 0;
                   });
-  const bool full = connection->prepared.size() > kMaxPrepared;
-  if (foreign || (full && connection->pinned == 0)) {
+  const bool full = connection->prepared.size() > kMaxPreparedPerConnection;
+  if (has_foreign_variable || (full && connection->pinned_caller == 0)) {
     add(CallKind::kDiscard, "", "", false);
     connection->variables.clear();
     connection->prepared.clear();
@@ -359,7 +370,7 @@
       request.prepared->shape, request.prepared->writes);
 }
 
-BackendCall Proxy::Impl::StatementCall(const Request& request) const {
+BackendCall Proxy::Impl::MakeStatementCall(const Request& request) const {
   BackendCall call;
   call.id = request.statement_id;
   if (request.prepared != nullptr) {
@@ -373,69 +384,71 @@
   return call;
 }
 
-void Proxy::Impl::Send(TimePoint now, Connection* connection, Request* request,
-                       const std::optional<Watermarks::Mark>& mark) {
-  if (!BelongsTo(now, connection, request)) return;
+void Proxy::Impl::SendStatement(TimePoint now, Connection* connection,
+                                Request* request,
+                                const std::optional<Watermarks::Mark>& mark) {
+  if (!CheckWorkspace(now, connection, request)) return;
   DatabaseState* database = FindDatabase(connection->database);
   const Caller& caller = callers_.at(request->caller);
   std::vector<BackendCall> calls;
-  Synchronize(now, connection, caller, *request, &calls);
-  milliseconds since_age{0};
+  SyncSessionState(now, connection, caller, *request, &calls);
+  milliseconds position_age{0};
   std::optional<LogPosition> since;
   if (mark.has_value()) {
     since = mark->position;
-    since_age = std::chrono::duration_cast<milliseconds>(now - mark->at);
+    position_age = std::chrono::duration_cast<milliseconds>(now - mark->at);
   }
-  const auto expect = [&](ExpectedKind kind) {
-    connection->expected.push_back(
-        {kind, request->id, now, since_age, /*needs_lead=*/!since.has_value()});
+  const auto expect = [&](PendingCallKind kind) {
+    connection->pending_calls.push_back({kind, request->id, now, position_age,
+                                         /*needs_proof=*/!since.has_value()});
   };
   // A read must not follow a replaced primary, which would go on answering
   // from a log that misses newer commits. A begin of a writing transaction in
   // front of the read is refused by a database that knows it has lost the lead;
   // what it may not know, another database tells, asked at the same time.
-  const bool proved = request->need != Need::kPrimary &&
-                      request->need != Need::kTransaction && !since.has_value();
+  const bool proved = request->requirement != Requirement::kPrimary &&
+                      request->requirement != Requirement::kTransaction &&
+                      !since.has_value();
   if (IsBegin(*request)) {
     BackendCall begin;
-    const bool plain =
+    const bool as_write =
         proved || request->statement.kind == StatementKind::kBegin;
-    begin.kind = plain ? CallKind::kBegin : CallKind::kBeginRead;
+    begin.kind = as_write ? CallKind::kBegin : CallKind::kBeginRead;
     begin.since = since;
     calls.push_back(begin);
-    expect(ExpectedKind::kBegin);
+    expect(PendingCallKind::kBegin);
   } else {
-    BackendCall bracket;
-    bracket.kind = CallKind::kBegin;
+    BackendCall guard;
+    guard.kind = CallKind::kBegin;
     if (proved) {
-      calls.push_back(bracket);
-      expect(ExpectedKind::kProof);
+      calls.push_back(guard);
+      expect(PendingCallKind::kProof);
     }
-    BackendCall call = StatementCall(*request);
+    BackendCall call = MakeStatementCall(*request);
     call.since = since;
     calls.push_back(std::move(call));
-    expect(ExpectedKind::kStatement);
+    expect(PendingCallKind::kStatement);
     ++database->in_flight;
     if (proved) {
-      bracket.kind = CallKind::kRollback;
-      calls.push_back(bracket);
-      expect(ExpectedKind::kEnd);
+      guard.kind = CallKind::kRollback;
+      calls.push_back(guard);
+      expect(PendingCallKind::kProxyRollback);
     }
   }
-  if (proved) WantProof(now, GroupOf(*request), now);
-  const bool reads_on = request->need == Need::kTransaction &&
-                        request->statement.kind != StatementKind::kCommit &&
-                        !request->writes;
-  if (reads_on && caller.transaction.unproved_since != TimePoint()) {
-    WantProof(now, GroupOf(*request), caller.transaction.unproved_since);
+  if (proved) RequestProof(now, GroupOf(*request), now);
+  const bool transaction_read =
+      request->requirement == Requirement::kTransaction &&
+      request->statement.kind != StatementKind::kCommit && !request->writes;
+  if (transaction_read && caller.transaction.unproved_since != TimePoint()) {
+    RequestProof(now, GroupOf(*request), caller.transaction.unproved_since);
   }
   database->unanswered += static_cast<uint32_t>(calls.size());
-  Sent(now, database);
+  RecordCallSent(now, database);
   ++request->attempts;
   request->database = connection->database;
-  request->sent = now;
-  request->running.push_back(connection->id);
-  if (!request->writes && request->need != Need::kTransaction &&
+  request->sent_at = now;
+  request->running_on.push_back(connection->id);
+  if (!request->writes && request->requirement != Requirement::kTransaction &&
       request->hedges < kMaxHedges) {
     SetTimer(request,
              std::min(request->timeout_at, now + HedgeDelay(*database)));
@@ -445,18 +458,19 @@
 
 /// The request's timer is due: whatever it waits for has taken longer than
 /// usual.
-void Proxy::Impl::LookAfter(TimePoint now, Request* request) {
+void Proxy::Impl::OnRequestTimer(TimePoint now, Request* request) {
   if (std::exchange(request->awaits_keeper, false)) {
     SetTimer(request, request->timeout_at);
     Dispatch(now, request);
     return;
   }
-  if (request->unconfirmed.has_value() || request->unproved.has_value()) {
-    AskAgain(now, request);
+  if (request->unconfirmed_reply.has_value() ||
+      request->unproved_reply.has_value()) {
+    PollReplicasAgain(now, request);
     return;
   }
   SetTimer(request, request->timeout_at);
-  if (request->need == Need::kTransaction) {
+  if (request->requirement == Requirement::kTransaction) {
     Resend(now, request);
   } else {
     Hedge(now, request);
@@ -467,30 +481,30 @@
 void Proxy::Impl::Resend(TimePoint now, Request* request) {
   const Caller& caller = callers_.at(request->caller);
   Connection* connection = FindConnection(caller.transaction.connection);
-  if (!request->running.empty() || connection == nullptr) return;
-  Send(now, connection, request, std::nullopt);
+  if (!request->running_on.empty() || connection == nullptr) return;
+  SendStatement(now, connection, request, std::nullopt);
 }
 
 /// The database that has the read keeps silent: asks another, or the same one
 /// on another connection. A beginning that is answered twice is rolled back on
 /// the connection that answers last.
 void Proxy::Impl::Hedge(TimePoint now, Request* request) {
-  if (request->queued || request->running.empty()) return;
+  if (request->queued || request->running_on.empty()) return;
   ++request->hedges;
-  request->turned_down.push_back(request->database);
+  request->rejected_by.push_back(request->database);
   const std::string first = request->database;
-  DropSilentIdle(now, request->sent, first);
+  CloseUnresponsiveIdle(now, request->sent_at, first);
   if (!TryPlace(now, request)) {
     // No connection is free yet; one may be opening.
     --request->hedges;
-    SetTimer(request, std::min(request->timeout_at, now + kHedgeRetry));
+    SetTimer(request, std::min(request->timeout_at, now + kHedgeRetryInterval));
     return;
   }
   Event(events_, EventWeight::kRequest, "read_hedged")
       .Add("request", request->statement_id)
       .Add("silent", first)
       .Add("also", request->database)
-      .Add("after", now - request->arrived);
+      .Add("after", now - request->arrived_at);
 }
 
 }  // namespace ryefold::core::session
--- a/src/libcore/session/proxy_pool.cc
+++ b/src/libcore/session/proxy_pool.cc
@@ -11,76 +11,78 @@
 using std::chrono::milliseconds;
 
 /// Time for a new connection to be let in, by an overloaded database too.
-constexpr milliseconds kOpenTime{1000};
+constexpr milliseconds kOpenTimeout{1000};
 /// Connections opened to one database at a time: each takes one of its slots
 /// for that while.
-constexpr uint32_t kMaxOpening = 2;
+constexpr uint32_t kMaxConcurrentOpens = 2;
 /// Pauses before the next opening after one was refused, doubled each time.
-constexpr milliseconds kLeastPause{50};
-constexpr milliseconds kMostPause{800};
-constexpr uint32_t kMaxDoublings = 4;
+constexpr milliseconds kMinOpenBackoff{50};
+constexpr milliseconds kMaxOpenBackoff{800};
+constexpr uint32_t kMaxBackoffDoublings = 4;
 /// Pause after a database said that it holds all the connections it takes:
 /// other instances close idle ones at about this pace.
-constexpr milliseconds kAfterTooMany{250};
+constexpr milliseconds kConnectionLimitBackoff{250};
 /// Part of a database's connections that one instance takes at most, and the
 /// least it may take. After a loss of power a database counts the dead
 /// connections for some seconds; with larger parts there is no room beside them
 /// and the restarted instances are turned away.
-constexpr uint32_t kConnectionPart = 14;
-constexpr uint32_t kLeastConnections = 2;
+constexpr uint32_t kConnectionShareDivisor = 14;
+constexpr uint32_t kMinConnections = 2;
 /// Connections to a database of a group that others keep: one in use and one
 /// for a transaction that rests. They are opened while no keeper is in reach,
 /// by a part of the instances, and closed when idle for `kIdleTime`.
-constexpr uint32_t kConnectionsAlone = 2;
+constexpr uint32_t kNonKeeperConnections = 2;
 /// For so long a database may go on counting the connections of the process
 /// that was here before, if its machine lost power.
-constexpr milliseconds kLingerTime{3500};
+constexpr milliseconds kDeadConnectionPeriod{3500};
 /// Idle connections beyond the first are closed after this long, for the use
 /// of other instances and for the reason above. Not sooner: opening costs the
 /// database a slot for a while.
-constexpr milliseconds kIdleTime{500};
+constexpr milliseconds kIdleTimeout{500};
 /// The same for one that belongs to a workspace, which comes back to it less
 /// often than all callers together. One that another workspace needs goes
 /// sooner.
-constexpr milliseconds kWorkspaceIdleTime{3000};
+constexpr milliseconds kWorkspaceIdleTimeout{3000};
 /// A statement unanswered for this long will not be answered: the connection
 /// has gone silent. Exceeds every route's statement timeout seen so far.
-constexpr milliseconds kSilentTime{3000};
+constexpr milliseconds kAnswerTimeout{3000};
 /// The same for a question of this instance's own, when nothing at all has been
 /// heard of the database since: no caller loses anything by its end.
-constexpr milliseconds kOwnSilentTime{1000};
+constexpr milliseconds kInternalCallTimeout{1000};
 /// A leaving primary takes work until its successor leads, but no longer than
 /// this; it may end seven seconds after it said that it leaves.
-constexpr milliseconds kDrainingPrimary{5000};
+constexpr milliseconds kDrainingPrimaryGrace{5000};
 /// Silence after which a database is avoided: several times what it usually
 /// takes, and at least this.
-constexpr milliseconds kLeastSuspicion{250};
-constexpr int kSuspicionFactor = 8;
+constexpr milliseconds kMinSuspicionTime{250};
+constexpr int kSuspicionLatencyFactor = 8;
 
 }  // namespace
 
-bool Proxy::Impl::Suspect(TimePoint now, const DatabaseState& database) const {
+bool Proxy::Impl::IsDatabaseSuspected(TimePoint now,
+                                      const DatabaseState& database) const {
   if (database.refusals > 0 &&
       database.pool.size() == database.pool.opening()) {
     return true;
   }
   if (database.silent_since == TimePoint()) return false;
-  const auto usual = std::chrono::duration_cast<milliseconds>(
-      database.latency.mean() * kSuspicionFactor);
-  return now - database.silent_since > std::max(kLeastSuspicion, usual);
+  const auto usual_latency = std::chrono::duration_cast<milliseconds>(
+      database.latency.mean() * kSuspicionLatencyFactor);
+  return now - database.silent_since >
+         std::max(kMinSuspicionTime, usual_latency);
 }
 
 /// Whether it is worth opening a connection for a statement that waits: not so
 /// when the last attempt failed a moment ago or hangs.
-bool Proxy::Impl::MayAnswer(TimePoint now,
-                            const DatabaseState& database) const {
-  const bool unreached =
+bool Proxy::Impl::MayAcceptConnection(TimePoint now,
+                                      const DatabaseState& database) const {
+  const bool unreachable =
       database.refusals > 0 && database.pool.size() == database.pool.opening();
-  if (!unreached) return !Suspect(now, database);
+  if (!unreachable) return !IsDatabaseSuspected(now, database);
   return database.pool.opening() == 0 && now >= database.open_not_before;
 }
 
-uint32_t Proxy::Impl::Window(const DatabaseState& database) const {
+uint32_t Proxy::Impl::InFlightLimit(const DatabaseState& database) const {
   const auto group = groups_.find(database.info.group);
   const size_t keepers =
       group == groups_.end() ? 0 : group->second->keepers.size();
@@ -88,36 +90,37 @@
   return WindowOf(database.info.slots, holders);
 }
 
-bool Proxy::Impl::TakesWork(TimePoint now,
-                            const DatabaseState& database) const {
+bool Proxy::Impl::AcceptsWork(TimePoint now,
+                              const DatabaseState& database) const {
   if (now < database.busy_until) return false;
-  if (database.in_flight >= Window(database)) return false;
+  if (database.in_flight >= InFlightLimit(database)) return false;
   if (!database.info.draining) return true;
   const auto group = groups_.find(database.info.group);
   return group != groups_.end() && group->second->primary == database.info.id &&
-         now < database.draining_since + kDrainingPrimary;
+         now < database.draining_since + kDrainingPrimaryGrace;
 }
 
 uint32_t Proxy::Impl::ConnectionCap(TimePoint now,
                                     const DatabaseState& database) const {
   const auto group = groups_.find(database.info.group);
-  if (group == groups_.end()) return kLeastConnections;
-  if (!group->second->kept) return kConnectionsAlone;
+  if (group == groups_.end()) return kMinConnections;
+  if (!group->second->is_keeper) return kNonKeeperConnections;
   const uint32_t limit = group->second->limits.connection_limit;
   const size_t keepers = group->second->keepers.size();
   const bool by_workspace = workspaces_.keys_required();
   if (keepers > 0) {
     const uint32_t share = ConnectionsOfKeeper(limit, keepers, by_workspace);
-    const bool young = now - instances_since_ < kLingerTime;
-    if (!by_workspace || !young) return share;
-    return std::max(kLeastConnections, share / 2);
+    const bool recently_started =
+        now - instances_since_ < kDeadConnectionPeriod;
+    if (!by_workspace || !recently_started) return share;
+    return std::max(kMinConnections, share / 2);
   }
-  return std::max(kLeastConnections, limit / kConnectionPart);
+  return std::max(kMinConnections, limit / kConnectionShareDivisor);
 }
 
 bool Proxy::Impl::MayOpen(TimePoint now, const DatabaseState& database) const {
   return now >= database.open_not_before &&
-         database.pool.opening() < kMaxOpening &&
+         database.pool.opening() < kMaxConcurrentOpens &&
          database.pool.size() < ConnectionCap(now, database);
 }
 
@@ -127,7 +130,7 @@
                              const std::string& workspace) const {
   const DatabasePool& pool = database.pool;
   if (now < database.open_not_before) return false;
-  if (pool.opening() >= kMaxOpening || pool.opening(workspace) > 0) {
+  if (pool.opening() >= kMaxConcurrentOpens || pool.opening(workspace) > 0) {
     return false;
   }
   const uint32_t cap = ConnectionCap(now, database);
@@ -135,24 +138,25 @@
   return pool.size() == cap && pool.EvictableFor(now, workspace).has_value();
 }
 
-void Proxy::Impl::Open(TimePoint now, DatabaseState* database,
-                       const std::string& workspace) {
+void Proxy::Impl::OpenDatabaseConnection(TimePoint now, DatabaseState* database,
+                                         const std::string& workspace) {
   Connection connection;
   connection.id = ++last_connection_;
   connection.database = database->info.id;
   connection.workspace = workspace;
-  connection.open_until = now + kOpenTime;
+  connection.open_deadline = now + kOpenTimeout;
   const ConnectionId id = connection.id;
   connections_.emplace(id, std::move(connection));
   database->pool.Opening(now, id, workspace);
   ++database->unanswered;
-  Sent(now, database);
+  RecordCallSent(now, database);
   ++counters_.connections_opened;
   port_->OpenConnection(id, database->info, workspace);
 }
 
-Connection* Proxy::Impl::TakeIdle(TimePoint now, DatabaseState* database,
-                                  const Caller& caller) {
+Connection* Proxy::Impl::TakeIdleConnection(TimePoint now,
+                                            DatabaseState* database,
+                                            const Caller& caller) {
   const std::vector<DatabasePool::Idle>& idle = database->pool.idle();
   Connection* chosen = nullptr;
   for (auto each = idle.rbegin(); each != idle.rend(); ++each) {
@@ -170,9 +174,10 @@
   return chosen;
 }
 
-Connection* Proxy::Impl::Acquire(TimePoint now, DatabaseState* database,
-                                 const Caller& caller) {
-  Connection* connection = TakeIdle(now, database, caller);
+Connection* Proxy::Impl::AcquireConnection(TimePoint now,
+                                           DatabaseState* database,
+                                           const Caller& caller) {
+  Connection* connection = TakeIdleConnection(now, database, caller);
   if (connection != nullptr) return connection;
   if (!MayOpenFor(now, *database, caller.workspace)) return nullptr;
   if (database->pool.size() >= ConnectionCap(now, *database)) {
@@ -181,15 +186,15 @@
     CloseConnection(now, FindConnection(*evicted));
     ++counters_.connections_evicted;
   }
-  Open(now, database, caller.workspace);
+  OpenDatabaseConnection(now, database, caller.workspace);
   return nullptr;
 }
 
-void Proxy::Impl::Sent(TimePoint now, DatabaseState* database) {
+void Proxy::Impl::RecordCallSent(TimePoint now, DatabaseState* database) {
   if (database->silent_since == TimePoint()) database->silent_since = now;
 }
 
-void Proxy::Impl::Heard(TimePoint now, DatabaseState* database) {
+void Proxy::Impl::RecordContact(TimePoint now, DatabaseState* database) {
   database->last_heard = now;
   database->silent_since = database->unanswered > 0 ? now : TimePoint();
 }
@@ -207,8 +212,8 @@
         .Add("refusals", database->refusals);
   }
   database->refusals = 0;
-  Heard(now, database);
-  Released(now, connection);
+  RecordContact(now, database);
+  ReleaseIfIdle(now, connection);
 }
 
 void Proxy::Impl::ConnectionRefused(TimePoint now, ConnectionId id,
@@ -218,8 +223,8 @@
   DatabaseState* database = FindDatabase(connection->database);
   DropConnection(now, id);
   if (error == ErrorCode::kTooManyConnections) {
-    Heard(now, database);
-    database->open_not_before = now + kAfterTooMany;
+    RecordContact(now, database);
+    database->open_not_before = now + kConnectionLimitBackoff;
     return;
   }
   ++database->refusals;
@@ -229,9 +234,10 @@
         .Add("error", ErrorName(error))
         .Add("last_heard", now - database->last_heard);
   }
-  const uint32_t doublings = std::min(database->refusals - 1, kMaxDoublings);
+  const uint32_t doublings =
+      std::min(database->refusals - 1, kMaxBackoffDoublings);
   database->open_not_before =
-      now + std::min(kLeastPause * (1 << doublings), kMostPause);
+      now + std::min(kMinOpenBackoff * (1 << doublings), kMaxOpenBackoff);
 }
 
 void Proxy::Impl::DropConnection(TimePoint now, ConnectionId id) {
@@ -239,12 +245,12 @@
   if (found == connections_.end()) return;
   const Connection& connection = found->second;
   DatabaseState* database = FindDatabase(connection.database);
-  uint32_t unanswered = static_cast<uint32_t>(connection.expected.size());
-  for (const Expected& expected : connection.expected) {
-    if (expected.kind == ExpectedKind::kStatement && database->in_flight > 0) {
+  uint32_t unanswered = static_cast<uint32_t>(connection.pending_calls.size());
+  for (const PendingCall& call : connection.pending_calls) {
+    if (call.kind == PendingCallKind::kStatement && database->in_flight > 0) {
       --database->in_flight;
     }
-    if (expected.kind == ExpectedKind::kStatus) {
+    if (call.kind == PendingCallKind::kStatus) {
       database->status_pending = false;
     }
   }
@@ -262,15 +268,15 @@
   DropConnection(now, id);
 }
 
-void Proxy::Impl::SendOwn(TimePoint now, Connection* connection,
-                          const std::vector<BackendCall>& calls,
-                          const std::vector<ExpectedKind>& kinds) {
+void Proxy::Impl::SendInternalCalls(TimePoint now, Connection* connection,
+                                    const std::vector<BackendCall>& calls,
+                                    const std::vector<PendingCallKind>& kinds) {
   DatabaseState* database = FindDatabase(connection->database);
-  for (const ExpectedKind kind : kinds) {
-    connection->expected.push_back({kind, 0, now, milliseconds(0)});
+  for (const PendingCallKind kind : kinds) {
+    connection->pending_calls.push_back({kind, 0, now, milliseconds(0)});
   }
   database->unanswered += static_cast<uint32_t>(calls.size());
-  Sent(now, database);
+  RecordCallSent(now, database);
   port_->SendCalls(connection->id, calls);
 }
 
@@ -278,15 +284,15 @@
   for (const std::string& id : group->databases) {
     // One connection beyond the cap, so that a database of which all
     // connections are taken is not mistaken for a silent one.
-    AskStatus(now, FindDatabase(id), /*beyond_cap=*/true);
+    RequestStatus(now, FindDatabase(id), /*beyond_cap=*/true);
   }
 }
 
 /// Connections can fall silent for good all at once, without a reset, while
 /// new ones work. When nothing at all has been heard of a database since a
 /// statement was sent there, its idle connections are not trusted either.
-void Proxy::Impl::DropSilentIdle(TimePoint now, TimePoint since,
-                                 const std::string& database) {
+void Proxy::Impl::CloseUnresponsiveIdle(TimePoint now, TimePoint since,
+                                        const std::string& database) {
   DatabaseState* state = FindDatabase(database);
   if (state == nullptr || state->last_heard > since) return;
   const std::vector<DatabasePool::Idle> idle = state->pool.idle();
@@ -296,44 +302,44 @@
 }
 
 void Proxy::Impl::TrimIdle(TimePoint now, DatabaseState* database) {
-  const size_t wanted = EnsureGroup(database->info.group)->kept ? 1 : 0;
+  const size_t wanted = EnsureGroup(database->info.group)->is_keeper ? 1 : 0;
   if (database->pool.idle().size() <= wanted) return;
   const DatabasePool::Idle& oldest = database->pool.idle().front();
   const milliseconds idle_time =
-      oldest.workspace.empty() ? kIdleTime : kWorkspaceIdleTime;
+      oldest.workspace.empty() ? kIdleTimeout : kWorkspaceIdleTimeout;
   if (now - oldest.since < idle_time) return;
   CloseConnection(now, FindConnection(oldest.connection));
 }
 
-bool Proxy::Impl::HasFallenSilent(TimePoint now,
+bool Proxy::Impl::IsAnswerOverdue(TimePoint now,
                                   const Connection& connection) const {
-  if (connection.expected.empty()) return false;
-  const TimePoint sent = connection.expected.front().sent;
-  if (now - sent > kSilentTime) return true;
+  if (connection.pending_calls.empty()) return false;
+  const TimePoint sent_at = connection.pending_calls.front().sent_at;
+  if (now - sent_at > kAnswerTimeout) return true;
   const bool for_callers =
-      connection.pinned != 0 ||
-      std::any_of(connection.expected.begin(), connection.expected.end(),
-                  [](const Expected& each) {
-                    return each.kind == ExpectedKind::kStatement ||
-                           each.kind == ExpectedKind::kBegin;
+      connection.pinned_caller != 0 ||
+      std::any_of(connection.pending_calls.begin(),
+                  connection.pending_calls.end(), [](const PendingCall& each) {
+                    return each.kind == PendingCallKind::kStatement ||
+                           each.kind == PendingCallKind::kBegin;
                   });
-  if (for_callers || now - sent <= kOwnSilentTime) return false;
-  return databases_.at(connection.database).last_heard <= sent;
+  if (for_callers || now - sent_at <= kInternalCallTimeout) return false;
+  return databases_.at(connection.database).last_heard <= sent_at;
 }
 
 /// Ends connections on which an answer is overdue, and openings that hang: a
 /// connection can go silent for good without a reset.
-void Proxy::Impl::CloseSilent(TimePoint now) {
-  std::vector<ConnectionId> silent;
-  std::vector<ConnectionId> hanging;
+void Proxy::Impl::CloseUnresponsive(TimePoint now) {
+  std::vector<ConnectionId> unresponsive;
+  std::vector<ConnectionId> stuck_opens;
   for (const auto& [id, connection] : connections_) {
     if (!connection.open) {
-      if (now >= connection.open_until) hanging.push_back(id);
-    } else if (HasFallenSilent(now, connection)) {
-      silent.push_back(id);
+      if (now >= connection.open_deadline) stuck_opens.push_back(id);
+    } else if (IsAnswerOverdue(now, connection)) {
+      unresponsive.push_back(id);
     }
   }
-  for (const ConnectionId id : hanging) {
+  for (const ConnectionId id : stuck_opens) {
     // An opening that was given up is no sign of life: the silence goes on, or
     // a database that nobody reaches would seem to have just fallen silent with
     // each new attempt, and its loss would be noticed a second later.
@@ -343,16 +349,16 @@
     ConnectionRefused(now, id, ErrorCode::kTimeout);
     database->silent_since = silent_since;
   }
-  for (const ConnectionId id : silent) {
+  for (const ConnectionId id : unresponsive) {
     port_->CloseConnection(id);
     ConnectionLost(now, id);
   }
 }
 
-void Proxy::Impl::ForgetGone(TimePoint now) {
+void Proxy::Impl::RemoveUnlistedDatabases(TimePoint now) {
   for (auto it = databases_.begin(); it != databases_.end();) {
     DatabaseState& database = it->second;
-    if (!database.unlisted || now < database.gone_at) {
+    if (!database.unlisted || now < database.removal_at) {
       ++it;
       continue;
     }
@@ -375,21 +381,21 @@
 }
 
 void Proxy::Impl::MaintainPools(TimePoint now) {
-  CloseSilent(now);
-  ForgetGone(now);
+  CloseUnresponsive(now);
+  RemoveUnlistedDatabases(now);
   for (auto& [id, database] : databases_) TrimIdle(now, &database);
   for (const auto& [name, group] : groups_) {
-    if (group->kept) OpenFirst(now, *group);
+    if (group->is_keeper) OpenStandbyConnections(now, *group);
   }
 }
 
 /// One connection stands ready to every database of a group that is kept: the
 /// first statement after a change of primary should not wait for it.
-void Proxy::Impl::OpenFirst(TimePoint now, const Group& group) {
+void Proxy::Impl::OpenStandbyConnections(TimePoint now, const Group& group) {
   for (const std::string& id : group.databases) {
     DatabaseState* database = FindDatabase(id);
     if (database->pool.size() > 0 || !MayOpen(now, *database)) continue;
-    Open(now, database, "");
+    OpenDatabaseConnection(now, database, "");
   }
 }
 
--- a/src/libcore/session/proxy_replies.cc
+++ b/src/libcore/session/proxy_replies.cc
@@ -12,7 +12,7 @@
 
 /// Pause before a database whose own queue was full gets more: about one
 /// statement's time.
-constexpr milliseconds kAfterBusy{15};
+constexpr milliseconds kBusyBackoff{15};
 /// Sendings of one statement at most. Each but the first follows an answer
 /// that it did not run, or the loss of a mere read.
 constexpr uint32_t kMaxAttempts = 8;
@@ -25,201 +25,206 @@
   Connection* connection = FindConnection(id);
   if (connection == nullptr) return;
   DatabaseState* database = FindDatabase(connection->database);
-  if (connection->expected.empty()) {
+  if (connection->pending_calls.empty()) {
     Event(events_, EventWeight::kState, "unasked_answer")
         .Add("database", connection->database);
     ConnectionLost(now, id);
     port_->CloseConnection(id);
     return;
   }
-  const Expected expected = connection->expected.front();
-  connection->expected.pop_front();
+  const PendingCall call = connection->pending_calls.front();
+  connection->pending_calls.pop_front();
   if (database->unanswered > 0) --database->unanswered;
-  Heard(now, database);
+  RecordContact(now, database);
   if (reply.position.has_value()) {
-    database->known = std::max(database->known, *reply.position);
+    database->applied_position =
+        std::max(database->applied_position, *reply.position);
     const auto behind = EnsureGroup(database->info.group)
                             ->watermarks.Behind(now, *reply.position);
     if (behind.has_value()) database->lag.Observed(*behind);
     Group* group = EnsureGroup(database->info.group);
-    NoteTerm(now, group, database->info.id, reply.position->term);
-    if (!group->unconfirmed.empty()) SettleCommits(now, group);
+    ObserveTerm(now, group, database->info.id, reply.position->term);
+    if (!group->unconfirmed_commits.empty()) SettleCommits(now, group);
   }
-  switch (expected.kind) {
-    case ExpectedKind::kSync:
+  switch (call.kind) {
+    case PendingCallKind::kSync:
       // The statement behind it would run under other values than its caller
       // was told; none is known to be refused, so the connection goes.
-      if (!reply.ok()) connection->spoilt = true;
+      if (!reply.ok()) connection->unusable = true;
       break;
-    case ExpectedKind::kProof:
-      ProofAnswered(now, connection, expected, reply);
+    case PendingCallKind::kProof:
+      OnProofReply(now, connection, call, reply);
       break;
-    case ExpectedKind::kBegin:
-      BeginAnswered(now, connection, FindRequest(expected.request), expected,
-                    reply);
+    case PendingCallKind::kBegin:
+      OnBeginReply(now, connection, FindRequest(call.request), call, reply);
       break;
-    case ExpectedKind::kStatement:
-      StatementAnswered(now, connection, expected, std::move(reply));
+    case PendingCallKind::kStatement:
+      OnStatementReply(now, connection, call, std::move(reply));
       break;
-    case ExpectedKind::kEnd:
+    case PendingCallKind::kProxyRollback:
       break;
-    case ExpectedKind::kStatus:
+    case PendingCallKind::kStatus:
       database->status_pending = false;
       if (reply.status.has_value()) {
-        StatusArrived(now, EnsureGroup(database->info.group), database,
-                      expected.sent, *reply.status);
+        OnStatus(now, EnsureGroup(database->info.group), database, call.sent_at,
+                 *reply.status);
       }
       break;
   }
   connection = FindConnection(id);
-  if (connection != nullptr) Released(now, connection);
+  if (connection != nullptr) ReleaseIfIdle(now, connection);
 }
 
 /// Gives a connection with nothing under way back to the pool.
-void Proxy::Impl::Released(TimePoint now, Connection* connection) {
-  if (!connection->expected.empty() || connection->pinned != 0) return;
+void Proxy::Impl::ReleaseIfIdle(TimePoint now, Connection* connection) {
+  if (!connection->pending_calls.empty() || connection->pinned_caller != 0)
+    return;
   DatabaseState* database = FindDatabase(connection->database);
   connection->proof_failed = false;
   Group* group = EnsureGroup(database->info.group);
-  if (connection->spoilt) {
+  if (connection->unusable) {
     CloseConnection(now, connection);
   } else {
     if (connection->taken_at != TimePoint()) {
-      database->hold.Add(std::chrono::duration_cast<std::chrono::microseconds>(
-          now - connection->taken_at));
+      database->hold_time.Add(
+          std::chrono::duration_cast<std::chrono::microseconds>(
+              now - connection->taken_at));
     }
     connection->taken_at = TimePoint();
     database->pool.Return(now, connection->id);
   }
-  if (database->status_wanted) AskStatus(now, database, /*beyond_cap=*/false);
-  Pump(now, group);
+  if (database->status_deferred)
+    RequestStatus(now, database, /*beyond_cap=*/false);
+  ServeQueues(now, group);
 }
 
-void Proxy::Impl::ProofAnswered(TimePoint now, Connection* connection,
-                                const Expected& expected, const Reply& reply) {
+void Proxy::Impl::OnProofReply(TimePoint now, Connection* connection,
+                               const PendingCall& call, const Reply& reply) {
   Group* group = EnsureGroup(FindDatabase(connection->database)->info.group);
   connection->proof_failed = !reply.ok();
   if (reply.ok() && reply.position.has_value()) {
-    connection->proof_failed = !Claimed(now, group, connection->database,
-                                        expected.sent, *reply.position);
+    connection->proof_failed = !RecordClaim(now, group, connection->database,
+                                            call.sent_at, *reply.position);
   } else if (reply.error == ErrorCode::kReadOnly) {
-    Deposed(now, group, connection->database, "refuses to lead");
+    MarkDeposed(now, group, connection->database, "refuses to lead");
   }
 }
 
-void Proxy::Impl::BeginAnswered(TimePoint now, Connection* connection,
-                                Request* request, const Expected& expected,
-                                const Reply& reply) {
+void Proxy::Impl::OnBeginReply(TimePoint now, Connection* connection,
+                               Request* request, const PendingCall& call,
+                               const Reply& reply) {
   Group* group = EnsureGroup(FindDatabase(connection->database)->info.group);
   const auto roll_back = [this, now, connection] {
     BackendCall rollback;
     rollback.kind = CallKind::kRollback;
-    SendOwn(now, connection, {rollback}, {ExpectedKind::kEnd});
+    SendInternalCalls(now, connection, {rollback},
+                      {PendingCallKind::kProxyRollback});
   };
   if (request == nullptr) {
     if (reply.ok()) roll_back();
     return;
   }
-  std::erase(request->running, connection->id);
+  std::erase(request->running_on, connection->id);
   if (!reply.ok()) {
-    NoteError(now, connection, expected, reply.error);
+    RecordError(now, connection, call, reply.error);
     request->last_error = reply.error;
-    Retry(now, request);
+    RetryRequest(now, request);
     return;
   }
-  const bool plain =
-      expected.needs_lead || request->statement.kind == StatementKind::kBegin;
-  if (plain && reply.position.has_value() &&
-      !Claimed(now, group, connection->database, expected.sent,
-               *reply.position)) {
+  const bool must_lead =
+      call.needs_proof || request->statement.kind == StatementKind::kBegin;
+  if (must_lead && reply.position.has_value() &&
+      !RecordClaim(now, group, connection->database, call.sent_at,
+                   *reply.position)) {
     roll_back();
-    Retry(now, request);
+    RetryRequest(now, request);
     return;
   }
   Caller* caller = FindCaller(request->caller);
   OpenTransaction(caller, *request);
   caller->transaction.connection = connection->id;
-  if (expected.needs_lead) caller->transaction.unproved_since = expected.sent;
-  connection->pinned = caller->id;
-  Reply told;
-  told.position = reply.position;
-  Finish(now, request, std::move(told));
+  if (call.needs_proof) caller->transaction.unproved_since = call.sent_at;
+  connection->pinned_caller = caller->id;
+  Reply begin_reply;
+  begin_reply.position = reply.position;
+  FinishRequest(now, request, std::move(begin_reply));
 }
 
 /// Draws from an error what it says about the database that gave it.
-void Proxy::Impl::NoteError(TimePoint now, Connection* connection,
-                            const Expected& expected, ErrorCode error) {
+void Proxy::Impl::RecordError(TimePoint now, Connection* connection,
+                              const PendingCall& call, ErrorCode error) {
   DatabaseState* database = FindDatabase(connection->database);
   Group* group = EnsureGroup(database->info.group);
   switch (error) {
     case ErrorCode::kBusy:
-      database->busy_until = now + kAfterBusy;
+      database->busy_until = now + kBusyBackoff;
       break;
     case ErrorCode::kLagging:
-      database->lag.Refused(now, expected.since_age);
+      database->lag.Refused(now, call.position_age);
       break;
     case ErrorCode::kReadOnly:
-      Deposed(now, group, database->info.id, "refuses to lead");
+      MarkDeposed(now, group, database->info.id, "refuses to lead");
       break;
     case ErrorCode::kNoStatement:
       // It has forgotten what it had prepared; so has this connection.
-      connection->spoilt = true;
+      connection->unusable = true;
       break;
     default:
       break;
   }
 }
 
-void Proxy::Impl::StatementAnswered(TimePoint now, Connection* connection,
-                                    const Expected& expected, Reply reply) {
+void Proxy::Impl::OnStatementReply(TimePoint now, Connection* connection,
+                                   const PendingCall& call, Reply reply) {
   DatabaseState* database = FindDatabase(connection->database);
   if (database->in_flight > 0) --database->in_flight;
   if (reply.ok()) {
     database->latency.Add(std::chrono::duration_cast<std::chrono::microseconds>(
-        now - expected.sent));
-    if (expected.since_age > milliseconds(0)) {
-      database->lag.Served(expected.since_age);
+        now - call.sent_at));
+    if (call.position_age > milliseconds(0)) {
+      database->lag.Served(call.position_age);
     }
   }
-  Request* request = FindRequest(expected.request);
+  Request* request = FindRequest(call.request);
   if (request == nullptr) return;
-  std::erase(request->running, connection->id);
+  std::erase(request->running_on, connection->id);
   request->last_error = reply.error;
   request->database = connection->database;
-  if (request->need == Need::kTransaction) {
-    TransactionAnswered(now, connection, request, std::move(reply));
+  if (request->requirement == Requirement::kTransaction) {
+    OnTransactionReply(now, connection, request, std::move(reply));
   } else {
-    SingleAnswered(now, connection, request, expected, std::move(reply));
+    OnSingleStatementReply(now, connection, request, call, std::move(reply));
   }
 }
 
-void Proxy::Impl::SingleAnswered(TimePoint now, Connection* connection,
-                                 Request* request, const Expected& expected,
-                                 Reply reply) {
-  if (request->unproved.has_value()) return;  // the other attempt was faster
-  if (connection->spoilt) {
+void Proxy::Impl::OnSingleStatementReply(TimePoint now, Connection* connection,
+                                         Request* request,
+                                         const PendingCall& call, Reply reply) {
+  if (request->unproved_reply.has_value())
+    return;  // the other attempt was faster
+  if (connection->unusable) {
     reply.error = ErrorCode::kNoStatement;
     if (!request->writes) {
-      Retry(now, request);
+      RetryRequest(now, request);
       return;
     }
   }
   if (connection->proof_failed) {
-    Retry(now, request);
+    RetryRequest(now, request);
     return;
   }
   if (MeansNotRun(reply.error)) {
-    NoteError(now, connection, expected, reply.error);
-    request->turned_down.push_back(connection->database);
-    Retry(now, request);
+    RecordError(now, connection, call, reply.error);
+    request->rejected_by.push_back(connection->database);
+    RetryRequest(now, request);
     return;
   }
   if (reply.error == ErrorCode::kFailed && !request->writes &&
       !request->failed_once) {
     // A read that failed once may well succeed elsewhere.
     request->failed_once = true;
-    request->turned_down.push_back(connection->database);
-    Retry(now, request);
+    request->rejected_by.push_back(connection->database);
+    RetryRequest(now, request);
     return;
   }
   Group* group = GroupOf(*request);
@@ -229,32 +234,34 @@
     ++(primary ? counters_.primary_reads : counters_.replica_reads);
   } else if (reply.ok() && reply.position.has_value()) {
     if (group != nullptr) {
-      Claimed(now, group, connection->database, expected.sent, *reply.position);
+      RecordClaim(now, group, connection->database, call.sent_at,
+                  *reply.position);
     }
-    Confirm(now, request, std::move(reply));
+    ConfirmCommit(now, request, std::move(reply));
     return;
   }
-  if (expected.needs_lead && reply.ok()) {
-    TellOnceProved(now, request, expected.sent, std::move(reply));
+  if (call.needs_proof && reply.ok()) {
+    FinishOnceProved(now, request, call.sent_at, std::move(reply));
     return;
   }
-  Finish(now, request, std::move(reply));
+  FinishRequest(now, request, std::move(reply));
 }
 
-void Proxy::Impl::TransactionAnswered(TimePoint now, Connection* connection,
-                                      Request* request, Reply reply) {
+void Proxy::Impl::OnTransactionReply(TimePoint now, Connection* connection,
+                                     Request* request, Reply reply) {
   Caller* caller = FindCaller(request->caller);
   const bool commit = request->statement.kind == StatementKind::kCommit;
   if (reply.error == ErrorCode::kBusy &&
       reply.state == TransactionState::kOpen &&
       request->attempts < kMaxAttempts &&
-      now + kAfterBusy < request->timeout_at) {
-    SetTimer(request, now + kAfterBusy);
+      now + kBusyBackoff < request->timeout_at) {
+    SetTimer(request, now + kBusyBackoff);
     return;
   }
   if (reply.error == ErrorCode::kReadOnly) {
-    Deposed(now, EnsureGroup(FindDatabase(connection->database)->info.group),
-            connection->database, "refuses to lead");
+    MarkDeposed(now,
+                EnsureGroup(FindDatabase(connection->database)->info.group),
+                connection->database, "refuses to lead");
   }
   if (commit) {
     const bool wrote = caller->transaction.wrote;
@@ -263,30 +270,32 @@
     if (reply.ok() && wrote && reply.position.has_value()) {
       Group* group = GroupOf(*request);
       if (group != nullptr) {
-        Claimed(now, group, connection->database, request->sent,
-                *reply.position);
+        RecordClaim(now, group, connection->database, request->sent_at,
+                    *reply.position);
       }
-      Confirm(now, request, std::move(reply));
+      ConfirmCommit(now, request, std::move(reply));
       return;
     }
   } else if (!reply.ok() && reply.state != TransactionState::kOpen) {
     FailTransaction(now, caller);
   } else if (reply.ok() && !request->writes &&
              caller->transaction.unproved_since != TimePoint()) {
-    TellOnceProved(now, request, caller->transaction.unproved_since,
-                   std::move(reply));
+    FinishOnceProved(now, request, caller->transaction.unproved_since,
+                     std::move(reply));
     return;
   }
-  Finish(now, request, std::move(reply));
+  FinishRequest(now, request, std::move(reply));
 }
 
 /// Puts a statement that did not run, or a read whose answer is lost, back
 /// into the queue. Other attempts that still run, or an answer that waits for
 /// its proof, are left to finish it.
-void Proxy::Impl::Retry(TimePoint now, Request* request) {
-  if (!request->running.empty() || request->unproved.has_value()) return;
+void Proxy::Impl::RetryRequest(TimePoint now, Request* request) {
+  if (!request->running_on.empty() || request->unproved_reply.has_value())
+    return;
   if (request->attempts >= kMaxAttempts || now >= request->timeout_at) {
-    Refuse(now, request, ErrorCode::kBusy, kRetryAfter, "attempts_used_up");
+    RefuseRequest(now, request, ErrorCode::kBusy, kRetryAfter,
+                  "attempts_used_up");
     return;
   }
   SetTimer(request, request->timeout_at);
@@ -300,67 +309,67 @@
     ConnectionRefused(now, id, ErrorCode::kNone);
     return;
   }
-  const std::deque<Expected> expected = connection->expected;
-  const CallerId pinned = connection->pinned;
+  const std::deque<PendingCall> lost_calls = connection->pending_calls;
+  const CallerId pinned_caller = connection->pinned_caller;
   Event(events_, EventWeight::kState, "connection_lost")
       .Add("database", connection->database)
-      .Add("unanswered", expected.size())
-      .Add("in_transaction", pinned);
+      .Add("unanswered", lost_calls.size())
+      .Add("in_transaction", pinned_caller);
   DropConnection(now, id);
-  Caller* caller = FindCaller(pinned);
+  Caller* caller = FindCaller(pinned_caller);
   if (caller != nullptr && caller->transaction.connection == id) {
     caller->transaction.connection = 0;
     caller->state = TransactionState::kFailed;
   }
-  for (const Expected& entry : expected) {
-    if (entry.kind != ExpectedKind::kStatement &&
-        entry.kind != ExpectedKind::kBegin) {
+  for (const PendingCall& lost : lost_calls) {
+    if (lost.kind != PendingCallKind::kStatement &&
+        lost.kind != PendingCallKind::kBegin) {
       continue;
     }
-    Request* request = FindRequest(entry.request);
-    if (request != nullptr) AttemptLost(now, request, id);
+    Request* request = FindRequest(lost.request);
+    if (request != nullptr) OnAttemptLost(now, request, id);
   }
 }
 
 /// The connection that a statement ran on is gone without an answer. A commit
 /// or a single write may have happened; everything else has not, or will be
 /// rolled back by the database, or only read.
-void Proxy::Impl::AttemptLost(TimePoint now, Request* request,
-                              ConnectionId connection) {
-  std::erase(request->running, connection);
+void Proxy::Impl::OnAttemptLost(TimePoint now, Request* request,
+                                ConnectionId connection) {
+  std::erase(request->running_on, connection);
   Caller* caller = FindCaller(request->caller);
   const bool commit = request->statement.kind == StatementKind::kCommit;
   Reply reply;
-  if (request->need == Need::kTransaction) {
-    const bool doubt = commit && caller->transaction.wrote;
+  if (request->requirement == Requirement::kTransaction) {
+    const bool in_doubt = commit && caller->transaction.wrote;
     if (commit) {
       caller->state = TransactionState::kIdle;
       caller->transaction = Transaction();
     }
-    reply.error = doubt ? ErrorCode::kInDoubt : ErrorCode::kAborted;
+    reply.error = in_doubt ? ErrorCode::kInDoubt : ErrorCode::kAborted;
     reply.error_text = "connection lost";
-    Finish(now, request, std::move(reply));
+    FinishRequest(now, request, std::move(reply));
   } else if (request->writes) {
     reply.error = ErrorCode::kInDoubt;
     reply.error_text = "connection lost";
-    Finish(now, request, std::move(reply));
+    FinishRequest(now, request, std::move(reply));
   } else {
-    Retry(now, request);
+    RetryRequest(now, request);
   }
 }
 
 /// The time that the route allows a statement is over.
 void Proxy::Impl::TimeOut(TimePoint now, Request* request) {
-  if (request->unconfirmed.has_value()) {
-    CommitInDoubt(now, request, "no replica has received it");
+  if (request->unconfirmed_reply.has_value()) {
+    FinishInDoubt(now, request, "no replica has received it");
     return;
   }
-  if (request->unproved.has_value()) {
-    ProofFailed(now, request, "lead_in_doubt");
+  if (request->unproved_reply.has_value()) {
+    OnProofFailed(now, request, "lead_in_doubt");
     return;
   }
-  if (request->running.empty() && request->forwarded_to.empty()) {
-    Refuse(now, request, ErrorCode::kBusy, kRetryAfter, "not_in_time");
+  if (request->running_on.empty() && request->forwarded_to.empty()) {
+    RefuseRequest(now, request, ErrorCode::kBusy, kRetryAfter, "not_in_time");
     return;
   }
   Caller* caller = FindCaller(request->caller);
@@ -368,7 +377,7 @@
   Reply reply;
   reply.error = ErrorCode::kTimeout;
   reply.error_text = "no answer in time";
-  if (request->need == Need::kTransaction) {
+  if (request->requirement == Requirement::kTransaction) {
     // The connection goes: what comes back late must not be taken for the
     // answer to the next statement, and the database rolls back.
     if (commit) {
@@ -380,7 +389,7 @@
   } else if (request->writes) {
     reply.error = ErrorCode::kInDoubt;
   }
-  Finish(now, request, std::move(reply));
+  FinishRequest(now, request, std::move(reply));
 }
 
 }  // namespace ryefold::core::session
