--- a/src/include/ryefold/core/session/port.h
+++ b/src/include/ryefold/core/session/port.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// What the session proxy needs from the outside, and what it is told.
+// Interfaces between the session proxy and its environment: sockets,
+// configuration and the list of databases.
 
 #include <cstdint>
 #include <string>
@@ -11,34 +12,36 @@
 
 namespace ryefold::core::session {
 
-/// Names a caller's connection; chosen by the port, never reused.
+/// Identifies a caller's connection. Assigned by the port, never reused.
 using CallerId = uint64_t;
-/// Names a connection to a database; chosen by the proxy, never reused.
+/// Identifies a connection to a database. Assigned by the proxy, never reused.
 using ConnectionId = uint64_t;
 
-/// Sockets towards callers and databases. No call may lead to an event being
-/// delivered before it returns: implementations deliver from their loop.
+/// Sockets of callers and databases. Methods must not deliver events
+/// synchronously: implementations deliver them from their event loop.
 class SessionPort {
  public:
   virtual ~SessionPort() = default;
 
-  /// Lets the caller in.
+  /// Accepts the caller's session.
   virtual void AcceptCaller(CallerId caller) = 0;
   virtual void ReplyToCaller(CallerId caller, const Reply& reply) = 0;
-  /// Closes; with an error other than kNone, after telling it.
+  /// Closes the caller's connection, after sending the error unless it is
+  /// kNone.
   virtual void CloseCaller(CallerId caller, ErrorCode error,
                            const std::string& text) = 0;
 
-  /// The connection belongs to `workspace` for its whole life; empty: to none.
+  /// Opens a connection dedicated to `workspace` for its lifetime; empty for
+  /// connections without a workspace.
   virtual void OpenConnection(ConnectionId connection, const Database& database,
                               const std::string& workspace) = 0;
-  /// Sends calls in one go; each is answered in order.
+  /// Sends the calls as one batch; they are answered in order.
   virtual void SendCalls(ConnectionId connection,
                          const std::vector<BackendCall>& calls) = 0;
   virtual void CloseConnection(ConnectionId connection) = 0;
 };
 
-/// Takes what the platform tells about configuration and databases.
+/// Receives the platform's updates of routes and databases.
 class DirectoryListener {
  public:
   virtual ~DirectoryListener() = default;
--- a/src/include/ryefold/core/session/proxy.h
+++ b/src/include/ryefold/core/session/proxy.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Interactive sessions: lets callers in, places their statements on database
-// connections, keeps transactions on one connection, and says what is known
-// about the outcome when something breaks.
+// Interactive sessions: authenticates callers, routes their statements to
+// database connections, pins transactions to one connection, and reports the
+// outcome of statements interrupted by a failure.
 
 #include <chrono>
 #include <cstdint>
@@ -22,34 +22,37 @@
 struct ProxySettings {
   /// Failure domain of this instance.
   std::string failure_domain;
-  /// Feeds the spread of the times at which refused callers may return.
+  /// Seeds the jitter of retry hints.
   uint64_t seed = 1;
-  /// Begins the names of sessions towards keepers: unique to this process.
+  /// Prefix of session names sent to keepers; unique to this process.
   std::string session_prefix;
-  /// When commits are acknowledged.
+  /// Decides when a commit may be acknowledged to its caller.
   std::shared_ptr<const Confirmation> confirmation =
       std::make_shared<const ConfirmedByReplica>();
 };
 
-/// One database as this instance sees it, for failover, logs and metrics.
+/// State of one database as observed by this instance, for failover, logs and
+/// metrics.
 struct DatabaseView {
   std::string id;
   std::string failure_domain;
   bool draining = false;
   bool primary = false;
-  /// Has answered something within the last second or owes nothing.
+  /// False while the database is suspected: calls have been unanswered for too
+  /// long, or connection attempts fail.
   bool responsive = true;
-  /// When it last answered anything here; epoch if never.
+  /// Time of the last response of any kind; epoch if there was none.
   TimePoint last_heard;
-  /// Since when calls have gone without any answer; epoch when none does.
+  /// Time since which calls have been pending without any response; epoch when
+  /// none is pending.
   TimePoint silent_since;
-  /// Connection attempts in a row that were refused.
+  /// Consecutive refused connection attempts.
   uint32_t refusals = 0;
-  /// Newest status that was answered, and when it was asked for; epoch if
-  /// never.
+  /// Newest status received, and the time at which it was requested; epoch if
+  /// there is none.
   StatusReport status;
   TimePoint status_asked;
-  /// Position that its last answer of any kind showed as applied.
+  /// Highest log position that any response reported as applied.
   LogPosition applied;
   uint32_t connections = 0;
   uint32_t in_flight = 0;
@@ -57,19 +60,20 @@
 
 struct GroupView {
   std::string group;
-  /// Database taken for the primary; empty when unknown.
+  /// Presumed primary; empty when unknown.
   std::string primary;
-  /// Term of the newest proof that it is.
+  /// Newest term observed in the group.
   uint64_t term = 0;
   size_t waiting = 0;
-  /// Whether this instance holds connections to the databases.
+  /// Whether this instance is a keeper of the group: it holds connections to
+  /// the databases.
   bool kept = true;
-  /// Writes are turned away since no replica receives commits.
+  /// Writes are refused because no replica receives commits.
   bool writes_held = false;
   std::vector<DatabaseView> databases;
 };
 
-/// What became of statements, since the start.
+/// Counters since the start of the process.
 struct ProxyCounters {
   uint64_t answered = 0;
   uint64_t failed = 0;
@@ -77,11 +81,11 @@
   uint64_t replica_reads = 0;
   uint64_t primary_reads = 0;
   uint64_t connections_opened = 0;
-  /// Idle ones closed to open one for another workspace.
+  /// Idle connections closed to make room for another workspace.
   uint64_t connections_evicted = 0;
 };
 
-/// Told about each statement that was answered, for histograms.
+/// Receives the outcome and latency of each answered statement, for histograms.
 class AnswerObserver {
  public:
   virtual ~AnswerObserver() = default;
@@ -89,8 +93,8 @@
                         std::chrono::microseconds latency) = 0;
 };
 
-/// State machine of all sessions of one instance. Not thread-safe; owned by
-/// one task, which hands in every event with its time.
+/// State machine of all sessions of one instance. Not thread-safe: one task
+/// owns it and passes the current time with every event.
 class Proxy : public DirectoryListener {
  public:
   Proxy(ProxySettings settings, SessionPort* port, EventSink* events,
@@ -99,10 +103,10 @@
   Proxy(const Proxy&) = delete;
   Proxy& operator=(const Proxy&) = delete;
 
-  /// `key` is the digest of what the caller gave as its key.
+  /// `key` is the digest of the API key that the caller presented.
   void CallerStarted(TimePoint now, CallerId caller, const std::string& route,
                      const workspace::KeyDigest& key = {});
-  /// At most one statement of a caller is unanswered at any time.
+  /// A caller has at most one statement pending at any time.
   void CallerStatement(TimePoint now, CallerId caller, const std::string& id,
                        Statement statement);
   void CallerGone(TimePoint now, CallerId caller);
@@ -110,61 +114,63 @@
   void ConnectionOpened(TimePoint now, ConnectionId connection);
   void ConnectionRefused(TimePoint now, ConnectionId connection,
                          ErrorCode error);
-  /// Broken, closed by the database, or what it sent was unreadable.
+  /// The connection broke, was closed by the database, or delivered malformed
+  /// data.
   void ConnectionLost(TimePoint now, ConnectionId connection);
   void CallAnswered(TimePoint now, ConnectionId connection, Reply reply);
 
   void OnRoutes(TimePoint now, const RouteTable& routes) override;
   void OnRoster(TimePoint now, const Roster& roster) override;
 
-  /// Lets statements of groups that others keep be forwarded, and others'
-  /// statements be run here.
+  /// Enables forwarding: statements of groups whose keepers are other instances
+  /// are sent there, and statements forwarded by other instances run here.
   void SetForwarder(Forwarder* forwarder);
-  /// Has operations of workspaces admitted by `limiter`; null: all are.
+  /// Makes `limiter` admit the operations of workspaces; null admits all.
   void SetLimiter(limits::OperationLimiter* limiter);
-  /// What the limiter decided on operations that were pending.
+  /// Reports the limiter's decision on a pending operation.
   void OperationAllowed(TimePoint now, limits::OperationId operation);
   void OperationRefused(TimePoint now, limits::OperationId operation,
                         const limits::LimitAnswer& answer);
-  /// All instances that there are, this one included.
+  /// Replaces the list of instances, which includes this one.
   void SetInstances(TimePoint now, const std::string& self,
                     const std::vector<KeeperCandidate>& instances);
   void ForwardAnswered(TimePoint now, ForwardId call, ForwardOutcome outcome,
                        Reply reply);
-  /// What came of `Forwarder::Probe`.
+  /// Reports the result of `Forwarder::Probe`.
   void InstanceProbed(TimePoint now, const std::string& instance, bool alive);
-  /// The routes are known to be those that were in force at `when`.
+  /// Records that the routes were confirmed to be current at `when`.
   void RoutesConfirmed(TimePoint when);
-  /// Runs a statement forwarded by another instance; `Forwarder` is given the
-  /// answer. The caller ends, for one that was answered outside of a
-  /// transaction, with `CallerGone`.
+  /// Runs a statement forwarded by another instance and passes the reply to
+  /// `Forwarder`. For a statement answered outside of a transaction, the owner
+  /// ends the adopted session with `CallerGone`.
   void AdoptStatement(TimePoint now, CallerId caller,
                       ForwardedStatement statement);
 
-  /// Asks every database of the group for its status.
+  /// Requests the status of every database of the group.
   void ProbeGroup(TimePoint now, const std::string& group);
-  /// Somebody who knows says that `database` is about to lead: a hint that
-  /// makes statements wait for it rather than be refused.
+  /// Announces that `database` is about to be promoted. A hint: statements wait
+  /// for the new primary instead of being refused.
   void ExpectPrimary(TimePoint now, const std::string& group,
                      const std::string& database);
 
-  /// Ends sessions as they fall idle; open transactions may go on until
-  /// `transactions_until`, everything until `end`.
+  /// Closes sessions as they become idle. Open transactions may continue until
+  /// `transactions_until`; all sessions are closed at `end`.
   void Drain(TimePoint now, TimePoint transactions_until, TimePoint end);
   bool drained() const;
 
   void Tick(TimePoint now);
   TimePoint next_deadline() const;
 
-  /// Whether callers can be served: routes and databases are known, and this
-  /// instance is not cut off from all others.
+  /// Whether callers can be served: routes and databases are loaded, and this
+  /// instance is not isolated from all others.
   bool ready() const;
-  /// Whether a configured group has no database at all.
+  /// Whether any configured group has no database.
   bool LacksDatabases() const;
   uint64_t route_version() const;
-  /// The workspaces in force.
+  /// Returns the workspaces of the active configuration.
   const workspace::Workspaces& workspaces() const;
-  /// Connections to databases held for each workspace, openings included.
+  /// Returns the number of connections per workspace, including those being
+  /// opened.
   std::map<std::string, uint32_t> connections_by_workspace() const;
   std::vector<GroupView> groups(TimePoint now) const;
   const ProxyCounters& counters() const;
--- a/src/libcore/session/proxy.cc
+++ b/src/libcore/session/proxy.cc
@@ -10,8 +10,8 @@
 
 using std::chrono::milliseconds;
 
-/// Pace of everything that is not due at a precise moment: idle transactions,
-/// pools, probes. Well below the shortest span that any of them waits for.
+/// Interval of periodic work: idle transactions, pools, probes. Well below the
+/// shortest timeout that this work enforces.
 constexpr milliseconds kMaintenanceInterval{50};
 }  // namespace
 
@@ -60,8 +60,8 @@
 }
 
 bool Proxy::Impl::IsInitialized() const {
-  const bool have_keepers = forwarder_ == nullptr || have_instances_;
-  return have_routes_ && have_roster_ && have_keepers;
+  const bool keepers_known = forwarder_ == nullptr || have_instances_;
+  return have_routes_ && have_roster_ && keepers_known;
 }
 
 bool Proxy::Impl::ready() const {
--- a/src/libcore/session/proxy_callers.cc
+++ b/src/libcore/session/proxy_callers.cc
@@ -1,5 +1,5 @@
-// What callers ask: letting them in, what the proxy answers by itself, the
-// state of their transactions, and ending their sessions.
+// Callers: session start, statements answered without a database, transaction
+// state, and session end.
 
 #include <algorithm>
 #include <utility>
@@ -12,8 +12,8 @@
 
 using std::chrono::milliseconds;
 
-/// Part of a transaction's idle bound after which it is ended, so that the
-/// bound itself is never undercut by a late timer.
+/// Added to the configured idle timeout of a transaction, so that timer
+/// inaccuracy never ends one early.
 constexpr milliseconds kIdleTimeoutMargin{100};
 
 bool IsTransactionEnd(StatementKind kind) {
@@ -29,10 +29,11 @@
 void Proxy::Impl::CallerStarted(TimePoint now, CallerId id,
                                 const std::string& route,
                                 const workspace::KeyDigest& key) {
-  // Others are further, as a rule: turned away here, a caller is served sooner
-  // elsewhere than kept waiting, after a loss of all power too.
+  // Other instances are usually further in their start-up, also after a power
+  // loss: a refused caller is served elsewhere sooner than it would be here.
   if (!IsInitialized()) {
-    port_->CloseCaller(id, ErrorCode::kBusy, "no configuration yet");
+    port_->CloseCaller(id, ErrorCode::kBusy,
+                       "instance is starting, configuration not loaded");
     return;
   }
   const std::shared_ptr<const Route> found = RouteOf(route);
@@ -100,21 +101,22 @@
   return prepared;
 }
 
-/// Answers what needs no database. Variables and prepared statements are kept
-/// with the session and brought to a connection before the next statement
-/// that goes there.
+/// Answers statements that need no database. Variables and prepared statements
+/// are stored with the session and sent to a connection before the next
+/// statement that runs there.
 bool Proxy::Impl::AnswerWithoutDatabase(TimePoint now, Caller* caller,
                                         const Statement& statement) {
   const TransactionState state = caller->state;
   if (state == TransactionState::kFailed) {
     if (!IsTransactionEnd(statement.kind)) {
-      AnswerLocally(caller, ErrorCode::kMalformed, "transaction has failed");
+      AnswerLocally(caller, ErrorCode::kMalformed,
+                    "transaction has failed, expected COMMIT or ROLLBACK");
       return true;
     }
     EndTransaction(now, caller, /*roll_back=*/true);
     const bool commit = statement.kind == StatementKind::kCommit;
     AnswerLocally(caller, commit ? ErrorCode::kAborted : ErrorCode::kNone,
-                  commit ? "rolled back" : "");
+                  commit ? "transaction has failed and was rolled back" : "");
     return true;
   }
   switch (statement.kind) {
@@ -136,7 +138,7 @@
       AnswerLocally(caller, ErrorCode::kNone, "");
       return true;
     case StatementKind::kMalformed:
-      AnswerLocally(caller, ErrorCode::kMalformed, "cannot be read");
+      AnswerLocally(caller, ErrorCode::kMalformed, "malformed statement");
       return true;
     default:
       break;
@@ -144,8 +146,9 @@
   const bool open = state == TransactionState::kOpen;
   if (open ? IsBegin(statement.kind)
            : statement.kind == StatementKind::kCommit) {
-    AnswerLocally(caller, ErrorCode::kMalformed,
-                  open ? "transaction is open" : "no transaction is open");
+    AnswerLocally(
+        caller, ErrorCode::kMalformed,
+        open ? "a transaction is already open" : "no transaction is open");
     return true;
   }
   return false;
@@ -212,9 +215,10 @@
     Forward(now, added, caller->transaction.keeper);
     return;
   }
-  const bool commits = added->statement.kind == StatementKind::kCommit &&
-                       caller->transaction.wrote;
-  if (commits && AreWritesHeld(*added)) {
+  const bool is_writing_commit =
+      added->statement.kind == StatementKind::kCommit &&
+      caller->transaction.wrote;
+  if (is_writing_commit && AreWritesHeld(*added)) {
     EndTransaction(now, caller, /*roll_back=*/true);
     RefuseHeldWrite(now, added, ErrorCode::kAborted);
     return;
@@ -235,9 +239,9 @@
     caller->committed = LogPosition();
   }
   const StatementKind kind = request.statement.kind;
-  const bool reads =
+  const bool is_read =
       kind == StatementKind::kBeginRead || (!IsBegin(kind) && !request.writes);
-  if (!reads) {
+  if (!is_read) {
     request.requirement = Requirement::kPrimary;
   } else if (request.route->freshness == Freshness::kPrimary) {
     request.requirement = Requirement::kProvedRead;
@@ -296,11 +300,11 @@
           now + route_table_.transaction_idle + kIdleTimeoutMargin;
     }
   }
-  const auto took = std::chrono::duration_cast<std::chrono::microseconds>(
+  const auto latency = std::chrono::duration_cast<std::chrono::microseconds>(
       now - request->arrived_at);
   ++(reply.ok() ? counters_.answered : counters_.failed);
   if (observer_ != nullptr) {
-    observer_->OnAnswer(*request->route, reply.error, took);
+    observer_->OnAnswer(*request->route, reply.error, latency);
   }
   Event(events_, EventWeight::kRequest, "answered")
       .Add("request", request->statement_id)
@@ -357,8 +361,8 @@
   caller->transaction.route = begin.route;
 }
 
-/// The transaction cannot go on. The connection is given back at once; the
-/// caller learns of it with its next statement, or with the one under way.
+/// Marks the transaction as failed and releases its connection at once. The
+/// caller is notified by the reply to its pending or next statement.
 void Proxy::Impl::FailTransaction(TimePoint now, Caller* caller) {
   EndTransaction(now, caller, /*roll_back=*/true);
   caller->state = TransactionState::kFailed;
@@ -378,8 +382,8 @@
   connection->pinned_caller = 0;
   if (!roll_back) return;
   if (!connection->pending_calls.empty()) {
-    // Something still runs in the transaction. Closing ends it at once, and
-    // the database rolls back.
+    // A statement of the transaction is still running. Closing the connection
+    // makes the database roll back at once.
     CloseConnection(now, connection);
     return;
   }
@@ -428,22 +432,23 @@
   DrainCallers(now);
 }
 
-/// Ends what has nothing under way, so that callers come back elsewhere.
+/// Closes idle sessions, so that their callers reconnect to another instance.
 void Proxy::Impl::DrainCallers(TimePoint now) {
   std::vector<CallerId> ended;
   for (auto& [id, caller] : callers_) {
     const bool idle =
         caller.request == 0 && caller.state == TransactionState::kIdle;
-    const bool late = now >= transactions_until_ && caller.request == 0;
-    if (idle || late || now >= drain_end_) ended.push_back(id);
+    const bool past_deadline =
+        now >= transactions_until_ && caller.request == 0;
+    if (idle || past_deadline || now >= drain_end_) ended.push_back(id);
   }
   for (const CallerId id : ended) {
     const bool open = callers_.at(id).state == TransactionState::kOpen;
     const bool adopted = callers_.at(id).adopted;
     CallerGone(now, id);
-    if (adopted) continue;  // told with its next statement
+    if (adopted) continue;  // The reply to its next statement reports the end.
     port_->CloseCaller(id, open ? ErrorCode::kAborted : ErrorCode::kNone,
-                       "instance is leaving");
+                       "instance is shutting down");
   }
 }
 
--- a/src/libcore/session/proxy_confirming.cc
+++ b/src/libcore/session/proxy_confirming.cc
@@ -1,5 +1,5 @@
-// Commits that the primary has acknowledged and that wait until a replica is
-// known to have received them.
+// Commits that the primary has acknowledged but that no replica is known to
+// have received.
 
 #include <algorithm>
 #include <utility>
@@ -11,43 +11,42 @@
 
 using std::chrono::milliseconds;
 
-/// Pause before a replica that had not received a commit is asked again: some
-/// times the delay of a network between failure domains, which is all that a
-/// commit takes to arrive.
+/// First interval between status requests to replicas: several times the
+/// network latency between failure domains, which a commit needs to arrive.
 constexpr milliseconds kPollInterval{5};
 constexpr uint32_t kMaxPollDoublings = 4;
-/// Age of a commit from which all replicas are asked, not the likeliest alone:
-/// about the time that a busy replica takes to get to the question.
+/// Age of a commit from which all replicas are asked instead of the fastest:
+/// about the time in which a busy replica answers.
 constexpr milliseconds kPollAllAfter{20};
-/// Age of an unconfirmed commit from which no more are let in. Twenty times
-/// what a confirmation takes beside busy replicas, and still early enough that
-/// callers can be told in time that their write has not run.
+/// Age of an unconfirmed commit from which new writes are refused. Twenty times
+/// the usual confirmation time with busy replicas, and early enough to report
+/// that the refused writes have not run.
 constexpr milliseconds kHoldWritesAfter{400};
-/// A status that has not come by then is asked for on another connection: the
-/// first may have fallen silent.
+/// A status not received within this time is requested on another connection,
+/// in case the first one no longer delivers data.
 constexpr milliseconds kStatusTimeout{300};
-/// Pace of asking replicas while commits are held back.
+/// Interval between status requests to replicas while writes are held.
 constexpr milliseconds kHeldPollInterval{100};
-/// Retry hint of writes that are turned away meanwhile: replicas cut off from
-/// their primary for longer than a second and a half get another one.
+/// Retry hint for held writes: replicas cut off from their primary
+/// for more than 1.5 s get a new one.
 constexpr milliseconds kHeldRetryAfter{500};
 
 }  // namespace
 
-/// Databases that can receive a commit of `primary`. Leaving ones only where
-/// there are no others: they end within seconds.
+/// Returns the databases that can receive a commit of `primary`. Draining
+/// databases count only if there are no others: they stop within seconds.
 std::vector<std::string> Proxy::Impl::ReplicasOf(
     const Group& group, const std::string& primary) const {
-  std::vector<std::string> staying;
-  std::vector<std::string> leaving;
+  std::vector<std::string> active_ids;
+  std::vector<std::string> draining_ids;
   for (const std::string& id : group.databases) {
-    // One that is missing from the list counts until it is forgotten: entries
-    // lapse while the store is away.
+    // An unlisted database counts until it is removed: list entries expire
+    // while the store is unavailable.
     const DatabaseState& database = databases_.at(id);
     if (id == primary) continue;
-    (database.info.draining ? leaving : staying).push_back(id);
+    (database.info.draining ? draining_ids : active_ids).push_back(id);
   }
-  return staying.empty() ? leaving : staying;
+  return active_ids.empty() ? draining_ids : active_ids;
 }
 
 bool Proxy::Impl::IsConfirmed(TimePoint now, const Group& group,
@@ -55,17 +54,18 @@
                               const std::string& committed_by) const {
   if (group.limits.confirms_commits) return true;
   const std::vector<std::string> replicas = ReplicasOf(group, committed_by);
-  // Nobody could be promoted, so nothing can be discarded: the primary alone
-  // has the log, and comes back with it.
+  // No database can be promoted, so no commit can be discarded: the primary has
+  // the only log and keeps it.
   if (replicas.empty()) return true;
-  const bool expecting =
+  const bool awaits_promotion =
       !group.expected_primary.empty() && now < group.expected_until;
   std::vector<LogPosition> received;
   for (const std::string& id : replicas) {
-    // What the coming primary lacks when it takes over is discarded, whoever
-    // else may have it.
-    if (expecting && id != group.expected_primary) continue;
-    // What it has applied it has received; ordinary answers tell that much.
+    // A promotion discards commits that the new primary lacks, even if other
+    // replicas have them.
+    if (awaits_promotion && id != group.expected_primary) continue;
+    // An applied position has also been received, and ordinary replies report
+    // it.
     const DatabaseState& database = databases_.at(id);
     received.push_back(
         std::max(database.status.received, database.applied_position));
@@ -73,7 +73,7 @@
   return settings_.confirmation->Holds(position, received);
 }
 
-/// The primary has acknowledged the commit of `request`.
+/// Handles a commit that the primary has acknowledged.
 void Proxy::Impl::ConfirmCommit(TimePoint now, Request* request, Reply reply) {
   Group* group = GroupOf(*request);
   if (group == nullptr || !reply.position.has_value() ||
@@ -87,9 +87,9 @@
   PollReplicasAgain(now, request);
 }
 
-/// Tells the caller that the commit is saved. Only from now on do its reads
-/// have to see it: one that stays in doubt must not take the place of an
-/// earlier one that was acknowledged, or the session would miss its own data.
+/// Acknowledges the commit to the caller. The session position advances only
+/// now: an in-doubt commit must not replace an earlier acknowledged one, or the
+/// session could miss its own data.
 void Proxy::Impl::AcknowledgeCommit(TimePoint now, Request* request,
                                     Reply reply) {
   Caller* caller = FindCaller(request->caller);
@@ -97,23 +97,23 @@
   FinishRequest(now, request, std::move(reply));
 }
 
-/// Asks at a pace that slows down: a replica that has not received the commit
-/// after some milliseconds is behind for longer, and each question takes one of
-/// its slots.
+/// Polls with exponential backoff: a replica that lacks the commit after some
+/// milliseconds stays behind for longer, and each request takes one of its
+/// slots.
 void Proxy::Impl::PollReplicasAgain(TimePoint now, Request* request) {
-  const milliseconds pause =
+  const milliseconds delay =
       kPollInterval *
       (1 << std::min(request->replica_polls, kMaxPollDoublings));
   ++request->replica_polls;
-  SetTimer(request, std::min(request->timeout_at, now + pause));
+  SetTimer(request, std::min(request->timeout_at, now + delay));
   PollReplicas(now, GroupOf(*request));
 }
 
-/// Asks the database for its status, unless it has been asked just now. With
-/// all connections taken, it is asked on the next that is given back, or on one
-/// `beyond_cap`.
+/// Requests the status of the database unless a request is pending. If no
+/// connection is idle, the request waits for the next returned connection, or
+/// for a new one, which may exceed the limit by one if `beyond_limit`.
 void Proxy::Impl::RequestStatus(TimePoint now, DatabaseState* database,
-                                bool beyond_cap) {
+                                bool beyond_limit) {
   const bool pending = database->status_pending &&
                        now - database->last_status_request_at < kStatusTimeout;
   database->status_deferred = false;
@@ -121,10 +121,11 @@
   const std::optional<ConnectionId> idle = database->pool.newest_idle();
   if (!idle.has_value()) {
     database->status_deferred = true;
-    const uint32_t cap = ConnectionCap(now, *database) + (beyond_cap ? 1 : 0);
-    const bool room = database->pool.size() < cap;
+    const uint32_t limit =
+        ConnectionLimit(now, *database) + (beyond_limit ? 1 : 0);
+    const bool below_limit = database->pool.size() < limit;
     const bool opening = database->pool.opening() > 0;
-    if (!opening && room && now >= database->open_not_before) {
+    if (!opening && below_limit && now >= database->open_not_before) {
       OpenDatabaseConnection(now, database, "");
     }
     return;
@@ -138,8 +139,8 @@
                       {PendingCallKind::kStatus});
     return;
   }
-  // A status waits for a slot; a begin is answered at once by a database that
-  // lives, however busy it is.
+  // A status request waits for a slot, whereas a live database answers a begin
+  // at once under any load.
   SendInternalCalls(
       now, connection,
       {BackendCall{CallKind::kBegin, {}, {}, {}, {}, false},
@@ -148,8 +149,8 @@
        PendingCallKind::kStatus});
 }
 
-/// Asks what replicas have received: the one that answers soonest, after a
-/// while all.
+/// Requests the received positions of replicas: of the fastest ones first, of
+/// all after `kPollAllAfter`.
 void Proxy::Impl::PollReplicas(TimePoint now, Group* group) {
   const bool confirming = !group->unconfirmed_commits.empty() ||
                           group->writes_held_position != LogPosition();
@@ -157,27 +158,28 @@
   std::vector<std::string> replicas = ReplicasOf(*group, group->primary);
   const auto cost = [this, now](const std::string& id) {
     const DatabaseState& database = databases_.at(id);
-    const bool near = database.info.failure_domain == settings_.failure_domain;
+    const bool same_domain =
+        database.info.failure_domain == settings_.failure_domain;
     return std::make_pair(
         IsDatabaseSuspected(now, database),
-        database.latency.mean() * (database.in_flight + (near ? 1 : 2)));
+        database.latency.mean() * (database.in_flight + (same_domain ? 1 : 2)));
   };
   std::sort(replicas.begin(), replicas.end(),
             [&cost](const std::string& a, const std::string& b) {
               return cost(a) < cost(b);
             });
-  size_t wanted = WitnessCount(*group, group->databases.size() - 1);
-  if (ShouldPollAllReplicas(now, *group)) wanted = replicas.size();
+  size_t remaining = WitnessCount(*group, group->databases.size() - 1);
+  if (ShouldPollAllReplicas(now, *group)) remaining = replicas.size();
   for (const std::string& id : replicas) {
     DatabaseState* database = FindDatabase(id);
-    RequestStatus(now, database, /*beyond_cap=*/confirming);
+    RequestStatus(now, database, /*beyond_limit=*/confirming);
     if (!database->status_pending) continue;
-    if (wanted <= 1) return;
-    --wanted;
+    if (remaining <= 1) return;
+    --remaining;
   }
 }
 
-/// Whether something waits for replicas for so long that all are asked.
+/// Whether a commit or proof has waited long enough to ask all replicas.
 bool Proxy::Impl::ShouldPollAllReplicas(TimePoint now, const Group& group) {
   if (group.writes_held_position != LogPosition()) return true;
   TimePoint since = now;
@@ -192,7 +194,8 @@
   return now - since >= kPollAllAfter;
 }
 
-/// A replica has told what it has received, or another primary is known.
+/// Completes waiting commits after a replica reported its position or the
+/// primary changed.
 void Proxy::Impl::SettleCommits(TimePoint now, Group* group) {
   const std::vector<RequestId> waiting = group->unconfirmed_commits;
   for (const RequestId id : waiting) {
@@ -205,17 +208,18 @@
     if (IsConfirmed(now, *group, position, request->database)) {
       AcknowledgeCommit(now, request, std::move(*request->unconfirmed_reply));
     } else if (group->term > position.term) {
-      // Another primary leads, and whether it had received the commit nobody
-      // can tell any more.
-      FinishInDoubt(now, request, "primary replaced");
+      // The primary was replaced; whether its successor had received the commit
+      // can no longer be determined.
+      FinishInDoubt(now, request,
+                    "primary replaced before a replica confirmed the commit");
     }
   }
   if (group->writes_held_position == LogPosition()) return;
-  const bool over = group->term > group->writes_held_position.term ||
-                    IsConfirmed(now, *group, group->writes_held_position,
-                                group->writes_held_primary);
-  if (!over) return;
-  Event(events_, EventWeight::kState, "writes_let_in")
+  const bool resolved = group->term > group->writes_held_position.term ||
+                        IsConfirmed(now, *group, group->writes_held_position,
+                                    group->writes_held_primary);
+  if (!resolved) return;
+  Event(events_, EventWeight::kState, "writes_resumed")
       .Add("group", group->name)
       .Add("position", group->writes_held_position.index)
       .Add("term", group->term)
@@ -231,14 +235,14 @@
   FinishRequest(now, request, std::move(reply));
 }
 
-/// Looks after commits that wait: asks again, and stops letting in writes that
-/// would only have to be told that their outcome is open.
+/// Holds new writes while a commit stays unconfirmed, since their outcome would
+/// be unknown as well, and keeps polling replicas.
 void Proxy::Impl::MaintainCommits(TimePoint now, Group* group) {
   if (!group->unconfirmed_commits.empty()) {
     const Request* oldest = FindRequest(group->unconfirmed_commits.front());
-    const bool late =
+    const bool overdue =
         oldest != nullptr && now - oldest->committed_at >= kHoldWritesAfter;
-    if (late && group->writes_held_position == LogPosition()) {
+    if (overdue && group->writes_held_position == LogPosition()) {
       group->writes_held_position = *oldest->unconfirmed_reply->position;
       group->writes_held_primary = oldest->database;
       group->writes_held_since = now;
@@ -252,22 +256,23 @@
     }
   }
   if (group->writes_held_position == LogPosition() ||
-      now < group->next_replica_poll_at)
+      now < group->next_replica_poll_at) {
     return;
-  // Replicas that are gone do not answer any more: nothing else would show that
-  // there is none left to wait for.
+  }
+  // Removed replicas send no replies, so only this check detects that no
+  // replica is left to wait for.
   SettleCommits(now, group);
   group->next_replica_poll_at = now + kHeldPollInterval;
   PollReplicas(now, group);
 }
 
-/// Whether a write would have to wait for replicas that receive nothing.
+/// Whether writes are refused because replicas receive no commits.
 bool Proxy::Impl::AreWritesHeld(const Request& request) {
   const Group* group = GroupOf(request);
   return group != nullptr && group->writes_held_position != LogPosition();
 }
 
-/// Turns a write away before it runs: afterwards nothing could be promised.
+/// Refuses the write before it runs: its durability could not be guaranteed.
 void Proxy::Impl::RefuseHeldWrite(TimePoint now, Request* request,
                                   ErrorCode error) {
   RefuseRequest(now, request, error, kHeldRetryAfter, "not_replicated");
--- a/src/libcore/session/proxy_directory.cc
+++ b/src/libcore/session/proxy_directory.cc
@@ -1,4 +1,4 @@
-// What is configured and which databases there are, as it changes.
+// Updates of the configuration and of the list of databases.
 
 #include <algorithm>
 #include <utility>
@@ -11,10 +11,11 @@
 
 using std::chrono::milliseconds;
 
-/// A database missing from the list is kept for this long: entries lapse while
-/// the store is away, and are back within two seconds of its return.
+/// Time for which a database missing from the list is kept: entries expire
+/// while the store is unavailable and return within two seconds after it
+/// recovers.
 constexpr milliseconds kUnlistedGracePeriod{2500};
-/// Pace of working out shares anew while statements wait.
+/// Interval between updates of queue weights while statements wait.
 constexpr milliseconds kWeightUpdateInterval{1000};
 
 }  // namespace
@@ -28,7 +29,7 @@
   return group.get();
 }
 
-/// Shares of the group's lines, by what each asks for as a rule.
+/// Sets the shares of the group's queue keys by their usual demand.
 void Proxy::Impl::UpdateQueueShares(TimePoint now, Group* group) {
   std::vector<WorkspacePolicy> policies;
   for (const auto& [queue_key, priority] : group->queue_priorities) {
@@ -50,13 +51,14 @@
       .Add("previous", route_table_.version)
       .Add("routes", routes.routes.size());
   route_table_ = routes;
-  const bool keys_dropped = workspaces_.Replace(routes.workspaces);
+  const bool keys_revoked = workspaces_.Replace(routes.workspaces);
   have_routes_ = true;
   routes_.clear();
   for (const auto& [name, limits] : route_table_.groups) {
     EnsureGroup(name)->limits = limits;
   }
-  // Databases of a group that is configured only now have been passed over.
+  // Databases of a group that was not configured before were skipped in earlier
+  // lists.
   if (have_roster_) OnRoster(now, Roster(roster_));
   for (auto& [name, group] : groups_) {
     group->routes.clear();
@@ -68,7 +70,7 @@
   }
   for (auto& [name, group] : groups_) UpdateQueueShares(now, group.get());
   AssignKeepers(now);
-  if (keys_dropped) RevokeSessions(now);
+  if (keys_revoked) RevokeSessions(now);
   ServeAllQueues(now);
 }
 
@@ -76,8 +78,8 @@
   have_roster_ = true;
   roster_ = roster;
   for (const auto& [id, info] : roster) {
-    // One of a group that nobody has configured is of no use, and its address
-    // may be anybody's.
+    // Databases of unconfigured groups are not used, and their addresses are
+    // not trusted.
     const bool unconfigured =
         databases_.count(id) == 0 && route_table_.groups.count(info.group) == 0;
     if (have_routes_ && unconfigured) continue;
@@ -92,8 +94,9 @@
         .Add("draining", info.draining ? "yes" : "no")
         .Add("claims_primary", info.claims_primary ? "yes" : "no")
         .Add("was_unlisted", database.unlisted ? "yes" : "no");
-    if (known && info.born != database.info.born)
+    if (known && info.born != database.info.born) {
       ResetRestartedDatabase(now, &database);
+    }
     if (info.draining && !database.info.draining) database.draining_since = now;
     if (!info.claims_primary) database.claims_since = TimePoint();
     if (info.claims_primary && database.claims_since == TimePoint()) {
@@ -120,28 +123,28 @@
   }
 }
 
-/// The database has started again under its id and holds nothing of before.
-/// What it was known to have received must confirm no commit any more, nor name
-/// it the most advanced: callers would lose what they were told is saved. Nor
-/// may its former lead or what it said of terms prove anything.
+/// Discards everything observed of a database that restarted with empty state
+/// under the same id. Its earlier positions must neither confirm commits nor
+/// make it the most advanced replica, or acknowledged commits would be lost.
+/// Its earlier leadership and terms must not count as proof.
 void Proxy::Impl::ResetRestartedDatabase(TimePoint now,
                                          DatabaseState* database) {
-  Event(events_, EventWeight::kState, "database_started_anew")
+  Event(events_, EventWeight::kState, "database_restarted")
       .Add("database", database->info.id)
       .Add("group", database->info.group)
       .Add("had_received", database->status.received.index)
       .Add("had_applied", database->applied_position.index);
   database->applied_position = LogPosition();
   database->status = StatusReport();
-  // Not known, rather than known to be nothing: a choice of successor waits for
-  // the status of a database that has not told it.
+  // Unknown rather than empty: the choice of a successor waits for the status
+  // of databases that have not reported it.
   database->status_as_of = TimePoint();
   database->status_valid_after = now;
   database->lag = LagEstimate();
   Group* group = EnsureGroup(database->info.group);
   group->proof.Forget(database->info.id);
   if (group->primary == database->info.id) {
-    MarkDeposed(now, group, database->info.id, "started anew");
+    MarkDeposed(now, group, database->info.id, "restarted with empty state");
   }
 }
 
--- a/src/libcore/session/proxy_forwarding.cc
+++ b/src/libcore/session/proxy_forwarding.cc
@@ -1,5 +1,5 @@
-// Statements that run through another instance: as the one that forwards them,
-// and as the keeper that runs them.
+// Statements that run through another instance: on the forwarding side and on
+// the keeper.
 
 #include <algorithm>
 #include <utility>
@@ -11,49 +11,48 @@
 
 using std::chrono::milliseconds;
 
-/// Keepers tried for one statement.
+/// Maximum number of instances tried for one statement.
 constexpr uint32_t kMaxForwardAttempts = 4;
-/// Time that a keeper has for a sign of life before a statement goes to it; the
-/// statement then goes to another. Sent to one that has lost power it would
-/// wait until its goal, and be in doubt if it is a write. A sign of life takes
-/// one round trip; a process under a processor quota can stand still for nearly
-/// a tenth of a second, and is then no worse off for being passed over.
+/// Time within which a keeper must show that it is alive before a statement is
+/// sent to it; otherwise the statement goes to another keeper. A statement sent
+/// to a host that lost power would wait until its goal, and a write would be in
+/// doubt. The check takes one round trip. A process under a CPU quota can stall
+/// for nearly 100 ms; it is then no worse to use another keeper.
 constexpr milliseconds kAliveTimeout{60};
 /// The same for a statement of a transaction, which only this keeper can run.
 constexpr milliseconds kTransactionAliveTimeout{300};
-/// The keeper answers when the route's time is over; this much later it is
-/// taken to have failed.
+/// A keeper replies by the route's timeout; it is considered failed this much
+/// later.
 constexpr milliseconds kAnswerMargin{150};
-/// Pause after several instances could not reach a primary either: it is lost,
-/// and asking around for each statement would only add load.
+/// Backoff after several instances failed to reach the primary: it is lost, and
+/// further detours would only add load.
 constexpr milliseconds kDetourBackoff{500};
-/// How long a keeper that has no primary of a group in reach is passed over for
-/// statements that need one: promoting another takes about a second, and each
-/// question costs the keeper little.
+/// Time for which a keeper that cannot reach a group's primary is not used for
+/// statements that need it. A promotion takes about one second, and a failed
+/// attempt is cheap for the keeper.
 constexpr milliseconds kNoPrimaryBackoff{400};
-/// Pause before a keeper is asked again that had only just started.
+/// Backoff for a keeper that has just started.
 constexpr milliseconds kStartingKeeperBackoff{40};
-/// Retry hint when no keeper could be reached.
+/// Retry hint when no keeper is reachable.
 constexpr milliseconds kNoKeeperRetryAfter{200};
-/// Retry hint while this instance reaches no other. Callers that come back go
-/// elsewhere; the hint is for those whose balancer has no other.
+/// Retry hint while this instance is isolated. Callers are normally balanced to
+/// another instance; the hint is for those whose load balancer has none.
 constexpr milliseconds kCutOffRetryAfter{500};
 
 }  // namespace
 
-/// Names the transaction, or the single statement, that the caller has under
-/// way elsewhere. Each has a name of its own: a statement can be held up by a
-/// partition, given up here, and still reach the keeper when the partition
-/// heals ten seconds later. Under the session's name it would run inside the
-/// transaction that the session has begun there since.
+/// Returns the name of the caller's forwarded transaction or single statement.
+/// Each gets a unique name: a statement delayed by a partition can reach the
+/// keeper ten seconds after it was given up here. Under a name per session it
+/// would run inside the transaction that the session has opened there since.
 std::string Proxy::Impl::SessionName(const Caller& caller) const {
   return settings_.session_prefix + std::to_string(caller.id) + "/" +
          std::to_string(caller.forward_count);
 }
 
-/// A keeper that has only just started says so; another is asked. When a whole
-/// fleet starts, with a large configuration, the instances that are first would
-/// turn away what the others can serve a few tenths of a second later.
+/// Tries another keeper if this one has just started. When a whole fleet starts
+/// with a large configuration, the first instances would otherwise refuse
+/// statements that others can serve a few tenths of a second later.
 bool Proxy::Impl::RetryAfterKeeperStart(TimePoint now, Request* request,
                                         const std::string& keeper,
                                         const Reply& reply) {
@@ -64,9 +63,9 @@
   return true;
 }
 
-/// A keeper without a way to the primary, or whose primary is cut off from its
-/// replicas, says so; another may be on the other side of the partition, where
-/// the statement can run. False when the answer stands.
+/// Tries another keeper if this one reaches no primary, or only one that is cut
+/// off from its replicas: another may be on the side of the partition where the
+/// statement can run. Returns false if the reply is final.
 bool Proxy::Impl::TryAnotherKeeper(TimePoint now, Request* request,
                                    const std::string& keeper,
                                    const Reply& reply) {
@@ -87,10 +86,9 @@
          IsDatabaseSuspected(now, primary->second);
 }
 
-/// A primary can be cut off from some instances and serve the others, and so
-/// can the replicas that commits are confirmed by. A statement that needs them
-/// goes through an instance that reaches them, rather than that all pay for a
-/// promotion with a second without writes.
+/// Forwards the statement to an instance that may reach the primary and its
+/// replicas when this one does not. Otherwise a partial partition would force a
+/// promotion, which stops all writes for about one second.
 bool Proxy::Impl::TryDetour(TimePoint now, Request* request, Group* group) {
   const bool possible =
       forwarder_ != nullptr && group->is_keeper &&
@@ -104,8 +102,8 @@
     const std::string& instance =
         instances_[(i + request->caller) % count].instance;
     if (instance == self_) continue;
-    const auto& refused = request->rejected_by;
-    if (std::count(refused.begin(), refused.end(), instance) > 0) continue;
+    const auto& rejected = request->rejected_by;
+    if (std::count(rejected.begin(), rejected.end(), instance) > 0) continue;
     if (IsInstanceSuspected(now, instance)) continue;
     request->detour = true;
     Forward(now, request, instance);
@@ -114,8 +112,8 @@
   return false;
 }
 
-/// Whether a detour that was refused goes on to another instance, or back to
-/// the queue here.
+/// Dispatches a statement again whose detour was refused: to another instance
+/// or to the local queue. Returns false if the reply is final.
 bool Proxy::Impl::RetryRefusedDetour(TimePoint now, Request* request,
                                      const std::string& instance,
                                      const Reply& reply) {
@@ -132,8 +130,8 @@
   return true;
 }
 
-/// Sends the statement to a keeper, or refuses it. False when no keeper is in
-/// reach and it is to be run here.
+/// Forwards the statement to a keeper, or refuses it. Returns false if no
+/// keeper is reachable and the statement is to run here.
 bool Proxy::Impl::ForwardToKeeper(TimePoint now, Request* request,
                                   const Group& group) {
   if (isolation_.cut_off()) {
@@ -187,11 +185,11 @@
   ++peers_[keeper].forwards_in_flight;
   const bool is_transaction_step = forwarded.in_transaction;
   const bool run_at_most_once = request->writes || is_transaction_step;
-  const TimePoint last = request->timeout_at + kAnswerMargin;
+  const TimePoint answer_deadline = request->timeout_at + kAnswerMargin;
   ForwardTerms terms;
-  // What may be sent again is sent elsewhere once its goal is missed.
+  // A repeatable statement is retried on another keeper after its goal.
   terms.deadline = run_at_most_once || now >= request->goal_deadline
-                       ? last
+                       ? answer_deadline
                        : request->goal_deadline;
   terms.alive_by =
       now + (is_transaction_step ? kTransactionAliveTimeout : kAliveTimeout);
@@ -199,7 +197,7 @@
   const bool may_commit =
       is_commit || (request->writes && !is_transaction_step);
   terms.lost_in_silence = !may_commit;
-  SetTimer(request, last + kAnswerMargin);
+  SetTimer(request, answer_deadline + kAnswerMargin);
   forwarder_->Forward(request->id, keeper, forwarded, terms);
 }
 
@@ -216,7 +214,8 @@
     OnForwardedReply(now, request, caller, keeper, std::move(reply));
     return;
   }
-  // Many statements can be under way to it; one line tells of the belief.
+  // Many statements can be in flight to the keeper; the suspicion is logged
+  // once.
   const bool newly_suspected = !IsInstanceSuspected(now, keeper);
   SuspectInstance(now, keeper, request->sent_at);
   if (newly_suspected) {
@@ -276,24 +275,24 @@
   caller->committed_at = now;
 }
 
-/// Runs a statement of another instance's caller. `id` is that session's
-/// number here; a transaction keeps it until it ends.
+/// Runs a statement of another instance's caller. `id` is the number of the
+/// adopted session; a transaction keeps it until it ends.
 void Proxy::Impl::AdoptStatement(TimePoint now, CallerId id,
                                  ForwardedStatement forwarded) {
   Caller* caller = FindCaller(id);
   if (caller != nullptr && caller->request != 0) {
-    // The other side has given up what still runs here. Its answer would be
-    // taken for this statement's.
+    // The forwarding instance has given up the statement that still runs here.
+    // Its reply must not be taken for the reply to this one.
     CallerGone(now, id);
     caller = nullptr;
   }
   if (caller == nullptr) {
     if (forwarded.in_transaction) {
-      // The transaction was ended here, or began before this process did:
-      // either way the database has rolled it back.
+      // The transaction was ended here or began before this process started; in
+      // both cases the database has rolled it back.
       Reply reply;
       reply.error = ErrorCode::kAborted;
-      reply.error_text = "transaction is gone";
+      reply.error_text = "transaction no longer exists";
       reply.state = TransactionState::kFailed;
       forwarder_->AnswerForwarded(id, reply);
       return;
@@ -306,7 +305,7 @@
   if (!IsAdoptedKeyValid(forwarded)) {
     Reply reply;
     reply.error = ErrorCode::kUnknownKey;
-    reply.error_text = "key was taken away";
+    reply.error_text = "key was revoked";
     if (caller->state == TransactionState::kOpen) {
       EndTransaction(now, caller, /*roll_back=*/true);
     }
--- a/src/libcore/session/proxy_identity.cc
+++ b/src/libcore/session/proxy_identity.cc
@@ -1,5 +1,5 @@
-// Who callers are: the workspace whose key they gave, for as long as it is
-// configured.
+// Identity of callers: the workspace of the presented key, for as long as the
+// key is configured.
 
 #include <algorithm>
 #include <utility>
@@ -11,8 +11,8 @@
 
 using workspace::Identity;
 
-/// Finds out to which workspace the caller belongs on this route. False when
-/// its key is not configured: its session has been closed then.
+/// Assigns the caller to its workspace on this route. If the key is not
+/// configured, closes the session and returns false.
 bool Proxy::Impl::AdmitCaller(TimePoint now, const Route& route,
                               Caller* caller) {
   const Identity identity =
@@ -35,19 +35,20 @@
   return false;
 }
 
-/// Whether the caller's key still stands for its workspace. An adopted caller
-/// was judged by the other instance, whose configuration may be the newer one.
+/// Whether the caller's key still belongs to its workspace. An adopted caller
+/// was checked by the other instance, whose configuration may be newer.
 bool Proxy::Impl::IsKeyValid(const Caller& caller) const {
-  if (caller.adopted && caller.admission_version >= route_table_.version)
+  if (caller.adopted && caller.admission_version >= route_table_.version) {
     return true;
+  }
   const std::shared_ptr<const Route> route = RouteOf(caller);
-  // A route that is gone is told to the caller as such.
+  // A removed route is reported by the reply to the next statement.
   if (route == nullptr || route->open_to_all) return true;
   return workspaces_.StandsFor(caller.key, caller.workspace);
 }
 
-/// Keys were taken away. What has not been sent to a database is refused; what
-/// runs is answered; then the sessions end.
+/// Revokes the sessions whose keys were removed: refuses requests that were not
+/// sent to a database, lets those in flight finish, then closes the sessions.
 void Proxy::Impl::RevokeSessions(TimePoint now) {
   std::vector<RequestId> unsent;
   for (auto& [id, caller] : callers_) {
@@ -75,14 +76,13 @@
   CloseRevokedSessions(now);
 }
 
-/// The statement came after the key was taken away: its transaction is rolled
-/// back.
+/// Rolls back the transaction of a revoked session and answers its statement.
 void Proxy::Impl::AnswerRevoked(TimePoint now, Caller* caller) {
   if (caller->state == TransactionState::kOpen) {
     EndTransaction(now, caller, /*roll_back=*/true);
   }
   caller->state = TransactionState::kIdle;
-  AnswerLocally(caller, ErrorCode::kUnknownKey, "key was taken away");
+  AnswerLocally(caller, ErrorCode::kUnknownKey, "key was revoked");
 }
 
 void Proxy::Impl::CloseRevokedSessions(TimePoint now) {
@@ -94,14 +94,14 @@
     const bool adopted = caller != nullptr && caller->adopted;
     CallerGone(now, id);
     revoked_callers_.erase(id);
-    if (adopted) continue;  // told with its next statement
-    port_->CloseCaller(id, ErrorCode::kUnknownKey, "key was taken away");
+    if (adopted) continue;  // The reply to its next statement reports the end.
+    port_->CloseCaller(id, ErrorCode::kUnknownKey, "key was revoked");
   }
 }
 
-/// An operation begins: a transaction, or a statement outside of one. Its
-/// workspace's limit was asked for where the caller is, so an adopted one is
-/// not counted again.
+/// Starts an operation: a transaction or a single statement. The instance that
+/// holds the caller's session checks the workspace's limit, so adopted callers
+/// are not counted again.
 void Proxy::Impl::StartOperation(TimePoint now, const Caller& caller,
                                  Request* request) {
   if (limiter_ == nullptr || caller.adopted || caller.workspace.empty()) {
@@ -148,16 +148,16 @@
   return held;
 }
 
-/// Whether another instance's caller may be served here: the newer of the two
-/// configurations decides.
+/// Whether a caller of another instance may run here, decided by the newer of
+/// the two configurations.
 bool Proxy::Impl::IsAdoptedKeyValid(const ForwardedStatement& forwarded) const {
   if (forwarded.config_version >= route_table_.version) return true;
   if (forwarded.route.open_to_all) return true;
   return workspaces_.StandsFor(forwarded.key, forwarded.workspace);
 }
 
-/// The one place that every statement passes on its way to a database: it never
-/// runs on a connection of another workspace than its caller's.
+/// Refuses a statement that is about to run on a connection of another
+/// workspace, and returns false. Every statement passes this check first.
 bool Proxy::Impl::CheckWorkspace(TimePoint now, Connection* connection,
                                  Request* request) {
   Caller& caller = callers_.at(request->caller);
--- a/src/libcore/session/proxy_impl.h
+++ b/src/libcore/session/proxy_impl.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// The session proxy's state and the parts its sources share.
+// Internal state of the session proxy and the functions that its source files
+// share.
 
 #include <functional>
 #include <map>
@@ -23,7 +24,7 @@
   Impl(ProxySettings settings, SessionPort* port, EventSink* events,
        AnswerObserver* observer);
 
-  // proxy_callers.cc: what callers ask.
+  // proxy_callers.cc: callers, requests and transactions.
   void CallerStarted(TimePoint now, CallerId id, const std::string& route,
                      const workspace::KeyDigest& key);
   void CallerStatement(TimePoint now, CallerId id,
@@ -41,7 +42,7 @@
   const workspace::Workspaces& workspaces() const { return workspaces_; }
   std::map<std::string, uint32_t> ConnectionsByWorkspace() const;
 
-  // proxy_instances.cc: the other instances.
+  // proxy_instances.cc: state of other instances.
   void SetForwarder(Forwarder* forwarder) { forwarder_ = forwarder; }
   void SetInstances(TimePoint now, const std::string& self,
                     const std::vector<KeeperCandidate>& instances);
@@ -52,7 +53,7 @@
                        Reply reply);
   void AdoptStatement(TimePoint now, CallerId id, ForwardedStatement forwarded);
 
-  // proxy_placing.cc: where statements go.
+  // proxy_placing.cc: queues and choice of databases.
   void Dispatch(TimePoint now, Request* request);
   void ServeAllQueues(TimePoint now);
   void ServeQueues(TimePoint now, Group* group);
@@ -60,7 +61,7 @@
   void Resend(TimePoint now, Request* request);
   void Hedge(TimePoint now, Request* request);
 
-  // proxy_replies.cc: what databases answer.
+  // proxy_replies.cc: replies of databases.
   void CallAnswered(TimePoint now, ConnectionId id, Reply reply);
   void ConnectionLost(TimePoint now, ConnectionId id);
   void TimeOut(TimePoint now, Request* request);
@@ -68,7 +69,7 @@
   // proxy_confirming.cc: commits that wait for a replica.
   void MaintainCommits(TimePoint now, Group* group);
 
-  // proxy_pool.cc: connections.
+  // proxy_pool.cc: database connections.
   void ConnectionOpened(TimePoint now, ConnectionId id);
   void ConnectionRefused(TimePoint now, ConnectionId id, ErrorCode error);
   void ProbeGroup(TimePoint now, Group* group);
@@ -79,7 +80,7 @@
   void ResetRestartedDatabase(TimePoint now, DatabaseState* database);
   void OnRoutes(TimePoint now, const RouteTable& routes);
 
-  // proxy_leadership.cc: who is the primary.
+  // proxy_leadership.cc: the presumed primary of each group.
   bool RecordClaim(TimePoint now, Group* group, const std::string& database,
                    TimePoint sent_at, const LogPosition& position);
   void MarkDeposed(TimePoint now, Group* group, const std::string& database,
@@ -94,7 +95,7 @@
   bool ProbeUnresponsivePrimary(TimePoint now, DatabaseState* primary);
   void MaintainLeadership(TimePoint now, Group* group);
 
-  // proxy.cc
+  // proxy.cc: timers and lookups.
   void Tick(TimePoint now);
   TimePoint next_deadline() const;
   Group* FindGroup(const std::string& name);
@@ -108,12 +109,10 @@
   const ProxyCounters& counters() const { return counters_; }
 
  private:
-  /// Whether all is known that is needed to serve: routes, databases, and who
-  /// keeps which group.
+  /// Whether routes, databases and, with forwarding, the instances are known.
   bool IsInitialized() const;
 
-  // Callers and requests.
-  // Who callers are (proxy_identity.cc).
+  // Callers and requests; identities (proxy_identity.cc).
   bool AdmitCaller(TimePoint now, const Route& route, Caller* caller);
   bool IsKeyValid(const Caller& caller) const;
   void RevokeSessions(TimePoint now);
@@ -148,7 +147,7 @@
   std::shared_ptr<const Route> RouteOf(const std::string& name) const;
   std::shared_ptr<const Route> RouteOf(const Caller& caller) const;
 
-  // What is believed of other instances (proxy_instances.cc).
+  // State of other instances (proxy_instances.cc).
   void RecordPeerContact(TimePoint now);
   void SuspectInstance(TimePoint now, const std::string& instance,
                        TimePoint requested_at);
@@ -165,7 +164,7 @@
   bool IsInstanceSuspected(TimePoint now, const std::string& instance) const;
   bool IsStarting(TimePoint now, const std::string& instance) const;
 
-  // Forwarding.
+  // Forwarding (proxy_forwarding.cc).
   std::string SessionName(const Caller& caller) const;
   bool RetryAfterKeeperStart(TimePoint now, Request* request,
                              const std::string& keeper, const Reply& reply);
@@ -181,11 +180,11 @@
                         const std::string& keeper, Reply reply);
   void RecordCommit(TimePoint now, Caller* caller, const Reply& reply);
 
-  // Placing.
+  // Placement (proxy_placing.cc).
   void RecordDemand(TimePoint now, Group* group, const Request& request);
   bool TryPlace(TimePoint now, Request* request);
   bool PlaceOnPrimary(TimePoint now, Request* request, Group* group);
-  bool PlaceOnAny(TimePoint now, Request* request, Group* group);
+  bool PlaceRead(TimePoint now, Request* request, Group* group);
   std::optional<Watermarks::Mark> RequiredMark(const Request& request,
                                                const Group& group) const;
   std::vector<std::string> ReadOrder(TimePoint now, const Request& request,
@@ -204,7 +203,7 @@
   void ServeQueue(TimePoint now, admission::Queue* queue);
   void RefuseAll(TimePoint now, const std::vector<admission::Refusal>& refused);
 
-  // Replies.
+  // Replies (proxy_replies.cc).
   void OnBeginReply(TimePoint now, Connection* connection, Request* request,
                     const PendingCall& call, const Reply& reply);
   void OnProofReply(TimePoint now, Connection* connection,
@@ -222,7 +221,7 @@
   void OnAttemptLost(TimePoint now, Request* request, ConnectionId connection);
   void ReleaseIfIdle(TimePoint now, Connection* connection);
 
-  // Confirming.
+  // Commit confirmation (proxy_confirming.cc).
   std::vector<std::string> ReplicasOf(const Group& group,
                                       const std::string& primary) const;
   bool IsConfirmed(TimePoint now, const Group& group,
@@ -230,7 +229,7 @@
                    const std::string& committed_by) const;
   void ConfirmCommit(TimePoint now, Request* request, Reply reply);
   void AcknowledgeCommit(TimePoint now, Request* request, Reply reply);
-  void RequestStatus(TimePoint now, DatabaseState* database, bool beyond_cap);
+  void RequestStatus(TimePoint now, DatabaseState* database, bool beyond_limit);
   void PollReplicas(TimePoint now, Group* group);
   bool ShouldPollAllReplicas(TimePoint now, const Group& group);
   void PollReplicasAgain(TimePoint now, Request* request);
@@ -239,7 +238,7 @@
   bool AreWritesHeld(const Request& request);
   void RefuseHeldWrite(TimePoint now, Request* request, ErrorCode error);
 
-  // Proving that a primary led (proxy_proving.cc).
+  // Proofs of leadership (proxy_proving.cc).
   size_t WitnessCount(const Group& group, size_t others) const;
   TimePoint ProvedUntil(const Group& group) const;
   void RequestProof(TimePoint now, Group* group, TimePoint since);
@@ -251,7 +250,7 @@
   bool IsLeadershipInDoubt(TimePoint now, const Group& group);
   bool NeedsLeadership(const Request& request, const Group& group) const;
 
-  // Pool.
+  // Connection pools (proxy_pool.cc).
   Connection* AcquireConnection(TimePoint now, DatabaseState* database,
                                 const Caller& caller);
   Connection* TakeIdleConnection(TimePoint now, DatabaseState* database,
@@ -270,7 +269,7 @@
   bool MayAcceptConnection(TimePoint now, const DatabaseState& database) const;
   uint32_t InFlightLimit(const DatabaseState& database) const;
   bool AcceptsWork(TimePoint now, const DatabaseState& database) const;
-  uint32_t ConnectionCap(TimePoint now, const DatabaseState& database) const;
+  uint32_t ConnectionLimit(TimePoint now, const DatabaseState& database) const;
   void CloseUnresponsiveIdle(TimePoint now, TimePoint since,
                              const std::string& database);
   void TrimIdle(TimePoint now, DatabaseState* database);
@@ -291,9 +290,9 @@
 
   ProxySettings settings_;
   SessionPort* port_;
-  /// Null where instances do not forward to each other.
+  /// Null when instances do not forward statements to each other.
   Forwarder* forwarder_ = nullptr;
-  /// Null where no limits are kept.
+  /// Null when no limits apply.
   limits::OperationLimiter* limiter_ = nullptr;
   EventSink* events_;
   AnswerObserver* observer_;
@@ -310,13 +309,12 @@
   std::unordered_map<CallerId, Caller> callers_;
   std::map<std::string, InstanceState> peers_;
   std::string self_;
-  /// Whether `instances_` has been told.
+  /// Whether `SetInstances` has been called, and when it was called first.
   bool have_instances_ = false;
-  /// When they were told first.
   TimePoint instances_since_;
   std::vector<KeeperCandidate> instances_;
   Isolation isolation_;
-  /// Instances asked for a sign of life, and since when.
+  /// Instances with a pending probe, and the time at which it was sent.
   std::map<std::string, TimePoint> pending_probes_;
   std::unordered_map<RequestId, Request> requests_;
   std::unordered_map<ConnectionId, Connection> connections_;
@@ -327,7 +325,7 @@
   RequestId last_request_ = 0;
   ConnectionId last_connection_ = 0;
   TimePoint next_maintenance_;
-  /// Whose keys were taken away, until their sessions have ended.
+  /// Callers with a revoked key whose sessions are not closed yet.
   std::set<CallerId> revoked_callers_;
   bool draining_ = false;
   TimePoint transactions_until_;
--- a/src/libcore/session/proxy_instances.cc
+++ b/src/libcore/session/proxy_instances.cc
@@ -1,7 +1,6 @@
-// What this instance believes of the others: who keeps which group, who keeps
-// silent, and whether any of them is reached at all. Nothing rests on these
-// beliefs but where statements go; a wrong one costs an attempt, or a refusal
-// that is true.
+// State of the other instances: keepers of each group, suspected instances, and
+// isolation of this one. It affects only where statements are sent: a wrong
+// assumption costs one attempt, or refuses a statement without running it.
 
 #include <algorithm>
 #include <utility>
@@ -13,18 +12,18 @@
 
 using std::chrono::milliseconds;
 
-/// How long an instance that kept silent is passed over. Trying it again costs
-/// one statement the time that it has for a sign of life.
+/// Time for which a suspected instance is not used. Trying it again delays one
+/// statement by the keeper's alive timeout.
 constexpr milliseconds kSuspicionPeriod{1000};
-/// Time for the answer to a probe: two silent keepers may be tried one after
-/// the other until the probes have told which of the rest live.
+/// Timeout of a probe. Until the probes show which keepers are alive, a
+/// statement may try two unreachable ones in succession.
 constexpr milliseconds kProbeTimeout{100};
-/// Cost of another failure domain in the choice of a keeper, in statements
-/// under way there.
+/// Cost of another failure domain in the choice of a keeper, in statements in
+/// flight.
 constexpr uint32_t kOtherDomainCost = 3;
-/// The same for each keeper of the same failure domain that comes before it in
-/// the order for the workspace: statements of one workspace meet where its
-/// connections are, and go on to the next keeper when that one has much to do.
+/// Cost of a keeper per keeper of its failure domain that precedes it in the
+/// workspace's order: statements of a workspace share the keeper that has its
+/// connections, and move to the next one under load.
 constexpr uint32_t kRankCost = 1;
 
 }  // namespace
@@ -39,7 +38,7 @@
   for (const KeeperCandidate& each : instances_) {
     if (each.instance != self_) others.push_back(each.instance);
   }
-  // Names sort by failure domain, which can fail as a whole.
+  // Names sort by failure domain, and a failure domain can fail as a whole.
   std::shuffle(others.begin(), others.end(), std::mt19937_64(settings_.seed));
   isolation_.SetOthers(std::move(others));
   AssignKeepers(now);
@@ -59,7 +58,8 @@
 void Proxy::Impl::RecordPeerContact(TimePoint now) {
   const TimePoint before = isolation_.heard_at();
   if (!isolation_.Heard(now)) return;
-  Event(events_, EventWeight::kState, "in_touch").Add("after", now - before);
+  Event(events_, EventWeight::kState, "peers_regained")
+      .Add("after", now - before);
 }
 
 void Proxy::Impl::SuspectInstance(TimePoint now, const std::string& instance,
@@ -83,9 +83,8 @@
   return state != peers_.end() && now < state->second.starting_until;
 }
 
-/// One keeper of the group keeps silent. Whatever took it may have taken others
-/// too; they are asked at once, or the next statements would find out one by
-/// one.
+/// Probes the group's other keepers after one became unreachable: they may have
+/// failed together, and each would otherwise delay a statement.
 void Proxy::Impl::ProbeKeepers(TimePoint now, const Group& group) {
   for (const KeeperCandidate& keeper : group.keepers) {
     if (keeper.instance == self_) continue;
@@ -96,7 +95,7 @@
 
 void Proxy::Impl::ProbeInstance(TimePoint now, const std::string& instance) {
   const auto found = pending_probes_.find(instance);
-  // One whose answer is long overdue went with its stream.
+  // A probe without a result after twice its timeout was lost with its stream.
   const bool pending =
       found != pending_probes_.end() && now - found->second < 2 * kProbeTimeout;
   if (pending) return;
@@ -111,11 +110,10 @@
   }
 }
 
-/// Until the instances are known nobody can tell who keeps a group, and this
-/// instance takes itself for none of its keepers. Otherwise a fleet that starts
-/// at one moment, after a loss of power, opens a connection from every instance
-/// to every database; each takes a slot for a while, beyond the limit the
-/// database resets them, and callers wait for all of it.
+/// Until the instances are known, this instance acts as keeper of no group.
+/// Otherwise a fleet that starts all at once after a power loss would connect
+/// every instance to every database: each connection takes a slot for a while,
+/// databases reset connections beyond their limit, and callers wait.
 void Proxy::Impl::AssignKeepers(TimePoint now) {
   if (!have_instances_) return;
   for (auto& [name, group] : groups_) {
@@ -145,8 +143,9 @@
   }
 }
 
-/// The keeper with the least under way, the own failure domain preferred;
-/// among equals callers spread by their numbers.
+/// Returns the keeper with the lowest cost: fewest statements in flight, with
+/// the local failure domain preferred. The caller's id spreads callers over
+/// keepers of equal cost. Returns null if none is usable.
 const KeeperCandidate* Proxy::Impl::ChooseKeeper(TimePoint now,
                                                  const Request& request,
                                                  const Group& group) const {
@@ -156,8 +155,8 @@
   const std::string& workspace = callers_.at(request.caller).workspace;
   for (size_t i = 0; i < count; ++i) {
     const KeeperCandidate& keeper = group.keepers[(i + request.caller) % count];
-    const auto& refused = request.rejected_by;
-    if (std::count(refused.begin(), refused.end(), keeper.instance) > 0) {
+    const auto& rejected = request.rejected_by;
+    if (std::count(rejected.begin(), rejected.end(), keeper.instance) > 0) {
       continue;
     }
     const auto state = peers_.find(keeper.instance);
@@ -184,7 +183,8 @@
   return best;
 }
 
-/// Whether the statement needs a primary that the keeper is known not to reach.
+/// Whether the statement needs a primary that the keeper recently failed to
+/// reach.
 bool Proxy::Impl::LacksPrimary(TimePoint now, const Request& request,
                                const Group& group,
                                const InstanceState& keeper) const {
@@ -193,18 +193,18 @@
   return found != keeper.no_primary_until.end() && now < found->second;
 }
 
-/// A partition can leave this instance with the databases of a group and
-/// without any of its keepers. It then opens a connection of its own: keepers
-/// leave a part of those that a database takes, and it needs one for a moment.
-/// Its callers would be refused for as long as the partition lasts.
+/// Whether the statement may run here although this instance is no keeper: a
+/// partition can leave it with the group's databases but no keeper, and its
+/// callers would be refused for that time. Keepers leave some connections
+/// unused, and a connection is needed only briefly.
 bool Proxy::Impl::MayRunLocally(TimePoint now, const Request& request,
                                 const Group& group) const {
-  const bool none_in_reach =
+  const bool none_reachable =
       std::all_of(group.keepers.begin(), group.keepers.end(),
                   [this, now](const KeeperCandidate& each) {
                     return IsInstanceSuspected(now, each.instance);
                   });
-  if (!none_in_reach || !have_instances_) return false;
+  if (!none_reachable || !have_instances_) return false;
   if (request.requirement != Requirement::kReadAtPosition) {
     const auto primary = databases_.find(group.primary);
     return primary != databases_.end() &&
--- a/src/libcore/session/proxy_leadership.cc
+++ b/src/libcore/session/proxy_leadership.cc
@@ -1,9 +1,9 @@
-// Who is the primary of a group, as this instance believes.
+// The presumed primary of each group.
 //
-// Nothing rests on this belief: commits are acknowledged once a replica has
-// received them under the primary's term, and reads that need a primary are
-// answered once it is proved to have led (`LeadershipProof`). A wrong belief
-// costs an attempt.
+// Correctness does not depend on it: a commit is acknowledged once a replica
+// has received it under the primary's term, and a read that needs the primary
+// is answered once the primary is proved to have led (`LeadershipProof`). A
+// wrong presumption costs one attempt.
 
 #include <algorithm>
 
@@ -14,42 +14,42 @@
 
 using std::chrono::milliseconds;
 
-/// Pace of asking all databases who leads while nobody is known to.
+/// Interval between status requests to all databases while no primary is known.
 constexpr milliseconds kPrimarySearchInterval{120};
-/// The same while a promotion is under way: statements wait for its end.
+/// The same during a promotion, since statements wait for it.
 constexpr milliseconds kPromotionSearchInterval{40};
-/// How long an announced promotion is waited for: it takes about a second.
+/// Time to wait for an announced promotion; one takes about one second.
 constexpr milliseconds kPromotionTimeout{2500};
 /// A group without statements for this long is not probed.
 constexpr milliseconds kGroupIdleTimeout{2000};
-/// The lead is probed when the newest mark is this much short of the age that
-/// the strictest route allows, so that replicas can go on serving its reads.
-/// It is the time that a probe and its proof take beside busy databases.
-/// Statements on the primary renew marks for nothing; probes fill the gaps
-/// between them.
+/// Leadership is probed when the newest mark is within this margin of the
+/// strictest route's maximum staleness, so that replicas can keep serving its
+/// reads. The margin covers a probe and its proof with busy databases.
+/// Statements on the primary also renew marks; probes fill the gaps.
 constexpr milliseconds kMarkRenewalMargin{500};
-/// Marks are not renewed more often for routes that allow next to nothing:
-/// their reads go to the primary.
+/// Lower bound of the probe interval for routes with a very low maximum
+/// staleness, whose reads go to the primary.
 constexpr milliseconds kMinMarkAge{300};
-/// Silence of a primary after which it is asked on one connection beyond those
-/// that may be open. Well above the time that a busy one takes, since each
-/// opening takes a slot of it.
+/// Time without a response after which a primary is probed on one connection
+/// beyond the limit. Well above the response time of a busy primary, since
+/// opening takes one of its slots.
 constexpr milliseconds kExtraProbeAfter{500};
 
 }  // namespace
 
-/// The database has accepted what only a primary accepts. Whether it still led
-/// is for others to prove. False when its term is known to be over.
+/// Records that the database accepted a call that only a primary accepts. Other
+/// databases have to prove that it still led. Returns false if its term is
+/// outdated.
 bool Proxy::Impl::RecordClaim(TimePoint now, Group* group,
                               const std::string& database, TimePoint sent_at,
                               const LogPosition& position) {
-  // The position shows the term of the last commit. That the database leads a
-  // newer one is known from its status.
+  // The position has the term of the last commit; only a status shows that the
+  // database leads a newer term.
   const DatabaseState* state = FindDatabase(database);
   const uint64_t status_term = state == nullptr ? 0 : state->status.term;
   const uint64_t term = std::max(status_term, position.term);
   if (term < group->term) {
-    MarkDeposed(now, group, database, "goes on under an old term");
+    MarkDeposed(now, group, database, "claims an outdated term");
     return false;
   }
   if (group->primary != database) {
@@ -65,7 +65,7 @@
   const bool newer = term > group->term;
   group->term = term;
   if (newer) SettleCommits(now, group);
-  group->proved_at = std::max(group->proved_at, sent_at);
+  group->last_claim_at = std::max(group->last_claim_at, sent_at);
   group->deposed.erase(database);
   if (group->expected_primary == database) group->expected_primary.clear();
   group->proof.Claimed(database, term, sent_at, position);
@@ -83,42 +83,41 @@
       .Add("database", database)
       .Add("term", group->term)
       .Add("reason", why)
-      .Add("proved", now - group->proved_at);
+      .Add("proved", now - group->last_claim_at);
   group->primary.clear();
   AdoptNewestClaim(now, group);
   if (group->primary.empty()) ProbeGroup(now, group);
 }
 
-/// Whether the group's primary has said itself that it leads the newest term
-/// that is known.
+/// Whether the presumed primary itself claims the newest term known.
 bool Proxy::Impl::PrimaryClaimsNewestTerm(const Group& group) const {
   return !group.primary.empty() && group.proof.leader() == group.primary &&
          group.proof.term() == group.term;
 }
 
-/// `database` knows the term. If it is newer than that of the primary, which is
-/// known by its own word, that one has been replaced and goes on.
+/// Records a term reported by `database`. If it is newer than the term that the
+/// primary claims, the primary has been replaced.
 void Proxy::Impl::ObserveTerm(TimePoint now, Group* group,
                               const std::string& database, uint64_t term) {
   if (term <= group->term || database == group->primary) return;
   if (!PrimaryClaimsNewestTerm(*group)) return;
-  // It may be the new term's primary itself: one that began to claim the lead
-  // after it last told its term is asked first. Giving it up at once would turn
-  // statements away for a moment of each failover.
+  // The primary may itself lead the newer term: if it became primary after its
+  // last status, its status is requested first. Deposing it at once would
+  // refuse statements for a moment in each failover.
   DatabaseState* primary = FindDatabase(group->primary);
   const bool may_be_newer =
       primary != nullptr && primary->status_as_of < primary->claims_since;
   if (may_be_newer) {
-    RequestStatus(now, primary, /*beyond_cap=*/false);
+    RequestStatus(now, primary, /*beyond_limit=*/false);
     return;
   }
   group->term = term;
-  MarkDeposed(now, group, group->primary, "a newer term is known");
+  MarkDeposed(now, group, group->primary, "newer term observed");
 }
 
-/// Takes the database that was the last to claim that it leads, unless it has
-/// refused since. The list is read in lumps; of two whose claims came together
-/// neither is taken.
+/// Makes the database with the newest claim in the list the presumed primary,
+/// unless it has refused to act as primary since. The list arrives in batches;
+/// if the two newest claims arrive together, neither is used.
 void Proxy::Impl::AdoptNewestClaim(TimePoint now, Group* group) {
   const DatabaseState* claimant = nullptr;
   bool tied = false;
@@ -135,8 +134,9 @@
   if (claimant == nullptr || tied) return;
   const std::string& id = claimant->info.id;
   if (group->primary == id) return;
-  // A proof later than the claim outweighs it.
-  if (!group->primary.empty() && group->proved_at >= claimant->claims_since) {
+  // A call that the presumed primary accepted later overrides the claim.
+  if (!group->primary.empty() &&
+      group->last_claim_at >= claimant->claims_since) {
     return;
   }
   Event(events_, EventWeight::kState, "primary_known")
@@ -164,13 +164,14 @@
   }
   SettleCommits(now, group);
   SettleProofs(now, group);
-  // It was asked before what has to be proved by now. One that was asked later
-  // and proves nothing is asked again at the pace of those that wait, or its
-  // answers would follow each other as fast as the network allows.
+  // The status was requested too early for the pending proof. A status
+  // requested in time that proves nothing is repeated at the polling interval
+  // instead; repeating it here would loop at network speed.
   const bool too_early = requested_at < group->proof_required_at;
   if (too_early && NeedsProof(*group)) PollReplicas(now, group);
   if (!report.primary) {
-    if (group->primary == id) MarkDeposed(now, group, id, "is a replica");
+    if (group->primary == id)
+      MarkDeposed(now, group, id, "status reports a replica");
     return;
   }
   if (report.term < group->term || group->primary == id) return;
@@ -198,7 +199,7 @@
   group->deposed.erase(database);
 }
 
-/// How old the newest mark may become before the lead is probed.
+/// Returns the age of the newest mark at which leadership is probed.
 milliseconds Proxy::Impl::MaxMarkAge(const Group& group) const {
   milliseconds strictest = milliseconds::max();
   for (const std::shared_ptr<const Route>& route : group.routes) {
@@ -208,20 +209,22 @@
   return std::max(strictest - kMarkRenewalMargin, kMinMarkAge);
 }
 
-/// Connections can fall silent all at once, each with a statement on it, while
-/// new ones work. With as many as may be open the primary would seem lost until
-/// they are given up; one more finds out, and then serves.
+/// Probes an unresponsive primary on one connection beyond the limit. All its
+/// connections can stop delivering data at once, each with a pending statement,
+/// while new ones work; at the limit the primary would appear lost until they
+/// time out. Returns false if no probe is due.
 bool Proxy::Impl::ProbeUnresponsivePrimary(TimePoint now,
                                            DatabaseState* primary) {
   if (primary == nullptr || !primary->pool.idle().empty()) return false;
   if (primary->silent_since == TimePoint()) return false;
   if (now - primary->silent_since < kExtraProbeAfter) return false;
-  RequestStatus(now, primary, /*beyond_cap=*/true);
+  RequestStatus(now, primary, /*beyond_limit=*/true);
   return true;
 }
 
-/// Renews the mark that covers reads on replicas: a begin is answered without
-/// a slot, and only by a database that takes itself for the primary.
+/// Renews the mark that reads on replicas rely on. A begin is answered without
+/// waiting for a slot, and accepted only by a database that considers itself
+/// primary.
 void Proxy::Impl::ProbeLeadership(TimePoint now, Group* group) {
   DatabaseState* database = FindDatabase(group->primary);
   if (database == nullptr) return;
@@ -239,29 +242,30 @@
 }
 
 void Proxy::Impl::MaintainLeadership(TimePoint now, Group* group) {
-  const bool used = now - group->last_used_at < kGroupIdleTimeout;
-  const bool expecting =
+  const bool recently_used = now - group->last_used_at < kGroupIdleTimeout;
+  const bool awaits_promotion =
       !group->expected_primary.empty() && now < group->expected_until;
   DatabaseState* primary = FindDatabase(group->primary);
-  // Its successor is about to lead, and it does not answer: statements wait for
-  // the successor instead. Not when it is the successor: the word that it was
-  // about to lead outlasts the moment from which it leads.
+  // A successor is about to be promoted and the primary does not respond:
+  // statements wait for the successor. The announcement remains for a while
+  // after the promotion, when both are the same database.
   const bool superseded =
-      expecting && group->primary != group->expected_primary;
+      awaits_promotion && group->primary != group->expected_primary;
   if (superseded && primary != nullptr && IsDatabaseSuspected(now, *primary)) {
-    MarkDeposed(now, group, group->primary, "silent, another is about to lead");
+    MarkDeposed(now, group, group->primary, "unresponsive during a promotion");
   }
   if (group->primary.empty()) {
     AdoptNewestClaim(now, group);
-    if (group->primary.empty() && (used || expecting) &&
+    if (group->primary.empty() && (recently_used || awaits_promotion) &&
         now >= group->probe_not_before) {
       group->probe_not_before =
-          now + (expecting ? kPromotionSearchInterval : kPrimarySearchInterval);
+          now + (awaits_promotion ? kPromotionSearchInterval
+                                  : kPrimarySearchInterval);
       ProbeGroup(now, group);
     }
     return;
   }
-  if (!used || now < group->probe_not_before) return;
+  if (!recently_used || now < group->probe_not_before) return;
   if (ProbeUnresponsivePrimary(now, primary)) {
     group->probe_not_before = now + kPrimarySearchInterval;
     return;
--- a/src/libcore/session/proxy_placing.cc
+++ b/src/libcore/session/proxy_placing.cc
@@ -1,4 +1,4 @@
-// Where statements go: the queues, the choice of a database, what is sent.
+// Placement of statements: queues, choice of a database, and the calls sent.
 
 #include <algorithm>
 #include <utility>
@@ -10,43 +10,46 @@
 
 using std::chrono::milliseconds;
 
-/// Retry hint while no database of a group is known: about the pace at which
-/// the platform's list is read.
+/// Retry hint while no database of a group is known: about the polling interval
+/// of the platform's list.
 constexpr milliseconds kNoDatabaseRetryAfter{500};
-/// Retry hint while no primary is in reach: promoting takes about a second.
+/// Retry hint while no primary is reachable: a promotion takes about one
+/// second.
 constexpr milliseconds kNoPrimaryRetryAfter{500};
-/// Silence after which a read is also sent elsewhere: several times what the
-/// database usually takes, so that few reads run twice, within these bounds.
-/// A lost answer otherwise shows only when the statement times out.
+/// Delay after which an unanswered read is also sent to another database, as a
+/// multiple of the usual latency so that few reads run twice, within these
+/// bounds. Without hedging, a lost reply shows only at the statement timeout.
 constexpr int kHedgeLatencyFactor = 4;
 constexpr milliseconds kMinHedgeDelay{80};
 constexpr milliseconds kMaxHedgeDelay{400};
-/// Bounds that keep the estimate of the service rate finite: no statement is
-/// faster, and with nothing in service one is still let in to find out.
+/// Bounds that keep the estimated service rate finite: no statement is faster,
+/// and statements are still admitted to measure the rate when none is in
+/// flight.
 constexpr double kMinHoldSeconds = 0.002;
 constexpr double kMinRatePerSecond = 2;
-/// A replica further behind than this serves few of the reads there are;
-/// routes allow one and a half to two and a half seconds.
+/// A replica with a higher lag can serve few reads: routes allow 1.5 to 2.5 s
+/// of staleness.
 constexpr milliseconds kMaxUsefulLag{1400};
-/// Part of the primary that reads which replicas can serve may count on.
+/// Part of the primary's capacity that counts for reads which replicas can
+/// serve.
 constexpr double kPrimaryReadShare = 0.5;
-/// Pause before a read that could not be sent elsewhere is tried again: about
-/// what a new connection takes.
+/// Interval between attempts to place a hedged read: about the time to open a
+/// connection.
 constexpr milliseconds kHedgeRetryInterval{25};
-/// Times that a read is sent once more since no answer came.
+/// Maximum number of hedged attempts of one read.
 constexpr uint32_t kMaxHedges = 3;
-/// Names that one connection keeps prepared before it is cleared. Databases
-/// hold them in memory for each connection.
+/// Prepared statements on one connection before it is reset. Databases store
+/// them in memory per connection.
 constexpr size_t kMaxPreparedPerConnection = 100;
-/// Classes of workspaces within one class of routes.
+/// Workspace priorities within one route priority.
 constexpr uint32_t kWorkspacePriorities = 16;
-/// Prefix of prepared names on connections.
 constexpr const char* kPreparedPrefix = "p";
 
 milliseconds HedgeDelay(const DatabaseState& database) {
-  const auto usual = std::chrono::duration_cast<milliseconds>(
+  const auto usual_latency = std::chrono::duration_cast<milliseconds>(
       database.latency.mean() * kHedgeLatencyFactor);
-  return std::clamp(usual + kMinHedgeDelay / 2, kMinHedgeDelay, kMaxHedgeDelay);
+  return std::clamp(usual_latency + kMinHedgeDelay / 2, kMinHedgeDelay,
+                    kMaxHedgeDelay);
 }
 
 std::string PreparedName(const Prepared& prepared) {
@@ -72,8 +75,8 @@
   return is_replica_read ? &group->read_queue : &group->primary_queue;
 }
 
-/// Counts a statement that asks to be served for the first time. A line that is
-/// new gets its class before anything of it is queued.
+/// Records the demand of a new statement, and sets the priority of its queue
+/// key before the statement is queued.
 void Proxy::Impl::RecordDemand(TimePoint now, Group* group,
                                const Request& request) {
   if (request.attempts > 0) return;
@@ -104,7 +107,7 @@
                            !callers_.at(request->caller).adopted;
   if (may_forward && ForwardToKeeper(now, request, *group)) return;
   const bool adopted = callers_.at(request->caller).adopted;
-  // Whoever has forwarded it may know of another instance that gets further.
+  // The forwarding instance may retry a read-only error on another instance.
   const ErrorCode no_primary =
       adopted ? ErrorCode::kReadOnly : ErrorCode::kBusy;
   if (adopted && !IsInitialized()) {
@@ -160,9 +163,9 @@
     Request* request = FindRequest(refusal.tag);
     if (request == nullptr) continue;
     request->queued = false;
-    const bool late = refusal.reason == Reason::kDeadline;
+    const bool missed_deadline = refusal.reason == Reason::kDeadline;
     RefuseRequest(now, request, ErrorCode::kBusy, refusal.retry_after,
-                  late ? "not_in_time" : "overloaded");
+                  missed_deadline ? "not_in_time" : "overloaded");
   }
 }
 
@@ -170,8 +173,9 @@
   for (auto& [name, group] : groups_) ServeQueues(now, group.get());
 }
 
-/// Statements a second that this instance can run on the database: by Little's
-/// law, the connections it has there over the time that each stays taken.
+/// Returns the statements per second that this instance can run on the
+/// database: by Little's law, its connections divided by the time that each
+/// stays in use.
 double Proxy::Impl::ServiceRate(TimePoint now,
                                 const DatabaseState& database) const {
   if (database.info.draining || IsDatabaseSuspected(now, database)) return 0;
@@ -186,10 +190,10 @@
   double replicas = 0;
   for (const std::string& id : group->databases) {
     const DatabaseState& database = databases_.at(id);
-    const bool leads = id == group->primary;
-    const bool far_behind = database.lag.bound() > kMaxUsefulLag;
-    if (!leads && far_behind) continue;
-    (leads ? primary : replicas) += ServiceRate(now, database);
+    const bool is_primary = id == group->primary;
+    const bool lags_too_far = database.lag.bound() > kMaxUsefulLag;
+    if (!is_primary && lags_too_far) continue;
+    (is_primary ? primary : replicas) += ServiceRate(now, database);
   }
   group->primary_queue.SetRate(std::max(primary, kMinRatePerSecond));
   group->read_queue.SetRate(
@@ -223,7 +227,7 @@
   Group* group = GroupOf(*request);
   if (group == nullptr) return false;
   if (request->requirement == Requirement::kReadAtPosition) {
-    return PlaceOnAny(now, request, group);
+    return PlaceRead(now, request, group);
   }
   return PlaceOnPrimary(now, request, group);
 }
@@ -236,18 +240,20 @@
   Connection* connection =
       AcquireConnection(now, database, callers_.at(request->caller));
   if (connection == nullptr) return false;
-  // Where older data will do, the begin asks for a position that covers it, and
-  // the transaction's reads need no question to another database.
-  const bool begins = request->statement.kind == StatementKind::kBegin;
+  // If the route accepts stale data, the begin requires a position that bounds
+  // the staleness, and the transaction's reads need no proof from other
+  // databases.
+  const bool is_begin = request->statement.kind == StatementKind::kBegin;
   const bool accepts_stale = request->route->freshness != Freshness::kPrimary;
-  SendStatement(
-      now, connection, request,
-      begins && accepts_stale ? RequiredMark(*request, *group) : std::nullopt);
+  SendStatement(now, connection, request,
+                is_begin && accepts_stale ? RequiredMark(*request, *group)
+                                          : std::nullopt);
   return true;
 }
 
-/// The position that the serving log has to hold, or nothing when no mark is
-/// young enough: then only a primary that proves its lead will do.
+/// Returns the position that the serving log must hold, or nullopt if every
+/// mark is too old: then only a primary with proved leadership may serve the
+/// read.
 std::optional<Watermarks::Mark> Proxy::Impl::RequiredMark(
     const Request& request, const Group& group) const {
   const Route& route = *request.route;
@@ -279,9 +285,9 @@
         !MayOpenFor(now, database, workspace)) {
       continue;
     }
-    const auto& refused = request.rejected_by;
+    const auto& rejected = request.rejected_by;
     if (!primary &&
-        std::count(refused.begin(), refused.end(), database.info.id) > 0) {
+        std::count(rejected.begin(), rejected.end(), database.info.id) > 0) {
       continue;
     }
     ReadCandidate candidate;
@@ -305,7 +311,7 @@
   return order;
 }
 
-bool Proxy::Impl::PlaceOnAny(TimePoint now, Request* request, Group* group) {
+bool Proxy::Impl::PlaceRead(TimePoint now, Request* request, Group* group) {
   const auto mark = RequiredMark(*request, *group);
   if (!mark.has_value()) return PlaceOnPrimary(now, request, group);
   const Caller& caller = callers_.at(request->caller);
@@ -318,8 +324,8 @@
     SendStatement(now, connection, request, mark);
     return true;
   }
-  // No connection is free anywhere: open one where it is wanted most, unless
-  // one is about to open already.
+  // No connection is idle: open one to the preferred database, unless one is
+  // about to open.
   const bool opening_soon = std::any_of(
       group->databases.begin(), group->databases.end(),
       [this, now, &caller](const std::string& id) {
@@ -330,8 +336,9 @@
   return false;
 }
 
-/// Brings to the connection what the session has set and prepared, before the
-/// statement that relies on it. What another session left behind is cleared.
+/// Adds the calls that set the session's variables and prepared statement on
+/// the connection before the statement. State of another session is discarded
+/// first.
 void Proxy::Impl::SyncSessionState(TimePoint now, Connection* connection,
                                    const Caller& caller, const Request& request,
                                    std::vector<BackendCall>* calls) {
@@ -402,17 +409,17 @@
     connection->pending_calls.push_back({kind, request->id, now, position_age,
                                          /*needs_proof=*/!since.has_value()});
   };
-  // A read must not follow a replaced primary, which would go on answering
-  // from a log that misses newer commits. A begin of a writing transaction in
-  // front of the read is refused by a database that knows it has lost the lead;
-  // what it may not know, another database tells, asked at the same time.
-  const bool proved = request->requirement != Requirement::kPrimary &&
-                      request->requirement != Requirement::kTransaction &&
-                      !since.has_value();
+  // A read must not be answered by a replaced primary, whose log misses newer
+  // commits. The read is preceded by the begin of a writing transaction, which
+  // a database refuses once it is no longer primary. In case it has not
+  // noticed, the other databases are asked for their terms at the same time.
+  const bool requires_proof =
+      request->requirement != Requirement::kPrimary &&
+      request->requirement != Requirement::kTransaction && !since.has_value();
   if (IsBegin(*request)) {
     BackendCall begin;
     const bool as_write =
-        proved || request->statement.kind == StatementKind::kBegin;
+        requires_proof || request->statement.kind == StatementKind::kBegin;
     begin.kind = as_write ? CallKind::kBegin : CallKind::kBeginRead;
     begin.since = since;
     calls.push_back(begin);
@@ -420,7 +427,7 @@
   } else {
     BackendCall guard;
     guard.kind = CallKind::kBegin;
-    if (proved) {
+    if (requires_proof) {
       calls.push_back(guard);
       expect(PendingCallKind::kProof);
     }
@@ -429,13 +436,13 @@
     calls.push_back(std::move(call));
     expect(PendingCallKind::kStatement);
     ++database->in_flight;
-    if (proved) {
+    if (requires_proof) {
       guard.kind = CallKind::kRollback;
       calls.push_back(guard);
       expect(PendingCallKind::kProxyRollback);
     }
   }
-  if (proved) RequestProof(now, GroupOf(*request), now);
+  if (requires_proof) RequestProof(now, GroupOf(*request), now);
   const bool transaction_read =
       request->requirement == Requirement::kTransaction &&
       request->statement.kind != StatementKind::kCommit && !request->writes;
@@ -456,8 +463,7 @@
   port_->SendCalls(connection->id, calls);
 }
 
-/// The request's timer is due: whatever it waits for has taken longer than
-/// usual.
+/// Handles the request's timer: the current step takes longer than usual.
 void Proxy::Impl::OnRequestTimer(TimePoint now, Request* request) {
   if (std::exchange(request->awaits_keeper, false)) {
     SetTimer(request, request->timeout_at);
@@ -477,7 +483,7 @@
   }
 }
 
-/// A step of a transaction that the database had no room for is sent once more.
+/// Repeats a statement of a transaction that the database refused as busy.
 void Proxy::Impl::Resend(TimePoint now, Request* request) {
   const Caller& caller = callers_.at(request->caller);
   Connection* connection = FindConnection(caller.transaction.connection);
@@ -485,9 +491,8 @@
   SendStatement(now, connection, request, std::nullopt);
 }
 
-/// The database that has the read keeps silent: asks another, or the same one
-/// on another connection. A beginning that is answered twice is rolled back on
-/// the connection that answers last.
+/// Sends an unanswered read to another database, or to the same one on another
+/// connection. If a begin is answered twice, the later one is rolled back.
 void Proxy::Impl::Hedge(TimePoint now, Request* request) {
   if (request->queued || request->running_on.empty()) return;
   ++request->hedges;
@@ -495,7 +500,7 @@
   const std::string first = request->database;
   CloseUnresponsiveIdle(now, request->sent_at, first);
   if (!TryPlace(now, request)) {
-    // No connection is free yet; one may be opening.
+    // No connection is idle yet; one may be opening.
     --request->hedges;
     SetTimer(request, std::min(request->timeout_at, now + kHedgeRetryInterval));
     return;
--- a/src/libcore/session/proxy_pool.cc
+++ b/src/libcore/session/proxy_pool.cc
@@ -1,4 +1,4 @@
-// Connections to databases: opening, lending, ending them.
+// Database connections: opening, use and closing.
 
 #include <algorithm>
 #include <utility>
@@ -10,50 +10,50 @@
 
 using std::chrono::milliseconds;
 
-/// Time for a new connection to be let in, by an overloaded database too.
+/// Timeout for opening a connection, also to an overloaded database.
 constexpr milliseconds kOpenTimeout{1000};
-/// Connections opened to one database at a time: each takes one of its slots
-/// for that while.
+/// Connections being opened to one database at a time: each takes one of the
+/// database's slots meanwhile.
 constexpr uint32_t kMaxConcurrentOpens = 2;
-/// Pauses before the next opening after one was refused, doubled each time.
+/// Bounds of the exponential backoff after a refused connection.
 constexpr milliseconds kMinOpenBackoff{50};
 constexpr milliseconds kMaxOpenBackoff{800};
 constexpr uint32_t kMaxBackoffDoublings = 4;
-/// Pause after a database said that it holds all the connections it takes:
-/// other instances close idle ones at about this pace.
+/// Backoff after a database reports that its connection limit is reached: about
+/// the time in which other instances close idle connections.
 constexpr milliseconds kConnectionLimitBackoff{250};
-/// Part of a database's connections that one instance takes at most, and the
-/// least it may take. After a loss of power a database counts the dead
-/// connections for some seconds; with larger parts there is no room beside them
-/// and the restarted instances are turned away.
+/// Divisor of the database's connection limit for one instance's maximum, and
+/// the lower bound of the result. After a power loss, databases count dead
+/// connections for some seconds; with larger shares no room would be left and
+/// restarted instances would be refused.
 constexpr uint32_t kConnectionShareDivisor = 14;
 constexpr uint32_t kMinConnections = 2;
-/// Connections to a database of a group that others keep: one in use and one
-/// for a transaction that rests. They are opened while no keeper is in reach,
-/// by a part of the instances, and closed when idle for `kIdleTime`.
+/// Connections of an instance that is not a keeper: one in use and one for an
+/// idle transaction. A part of the instances opens them while no keeper is
+/// reachable and closes them when idle for `kIdleTimeout`.
 constexpr uint32_t kNonKeeperConnections = 2;
-/// For so long a database may go on counting the connections of the process
-/// that was here before, if its machine lost power.
+/// Time for which a database may count connections of this instance's previous
+/// process after its host lost power.
 constexpr milliseconds kDeadConnectionPeriod{3500};
-/// Idle connections beyond the first are closed after this long, for the use
-/// of other instances and for the reason above. Not sooner: opening costs the
-/// database a slot for a while.
+/// Idle time after which connections beyond the first are closed, to free them
+/// for other instances and for the case of a power loss. Not shorter, since
+/// opening a connection occupies a slot of the database.
 constexpr milliseconds kIdleTimeout{500};
-/// The same for one that belongs to a workspace, which comes back to it less
-/// often than all callers together. One that another workspace needs goes
-/// sooner.
+/// The same for a connection of a workspace, which is reused less often than
+/// one shared by all callers. It is evicted earlier if another workspace needs
+/// it.
 constexpr milliseconds kWorkspaceIdleTimeout{3000};
-/// A statement unanswered for this long will not be answered: the connection
-/// has gone silent. Exceeds every route's statement timeout seen so far.
+/// Time without a reply after which a connection is considered lost. Exceeds
+/// the statement timeout of every known route.
 constexpr milliseconds kAnswerTimeout{3000};
-/// The same for a question of this instance's own, when nothing at all has been
-/// heard of the database since: no caller loses anything by its end.
+/// The same for the proxy's own calls, if the database has sent nothing since.
+/// Closing the connection affects no caller.
 constexpr milliseconds kInternalCallTimeout{1000};
-/// A leaving primary takes work until its successor leads, but no longer than
-/// this; it may end seven seconds after it said that it leaves.
+/// A draining primary is used until its successor leads, but no longer than
+/// this: it may stop seven seconds after the start of draining.
 constexpr milliseconds kDrainingPrimaryGrace{5000};
-/// Silence after which a database is avoided: several times what it usually
-/// takes, and at least this.
+/// Time without a response after which a database is suspected: a multiple of
+/// its usual latency, with this lower bound.
 constexpr milliseconds kMinSuspicionTime{250};
 constexpr int kSuspicionLatencyFactor = 8;
 
@@ -72,8 +72,8 @@
          std::max(kMinSuspicionTime, usual_latency);
 }
 
-/// Whether it is worth opening a connection for a statement that waits: not so
-/// when the last attempt failed a moment ago or hangs.
+/// Whether opening a connection for a waiting statement is likely to succeed.
+/// False while an attempt is pending or in backoff after a failure.
 bool Proxy::Impl::MayAcceptConnection(TimePoint now,
                                       const DatabaseState& database) const {
   const bool unreachable =
@@ -100,8 +100,8 @@
          now < database.draining_since + kDrainingPrimaryGrace;
 }
 
-uint32_t Proxy::Impl::ConnectionCap(TimePoint now,
-                                    const DatabaseState& database) const {
+uint32_t Proxy::Impl::ConnectionLimit(TimePoint now,
+                                      const DatabaseState& database) const {
   const auto group = groups_.find(database.info.group);
   if (group == groups_.end()) return kMinConnections;
   if (!group->second->is_keeper) return kNonKeeperConnections;
@@ -121,11 +121,11 @@
 bool Proxy::Impl::MayOpen(TimePoint now, const DatabaseState& database) const {
   return now >= database.open_not_before &&
          database.pool.opening() < kMaxConcurrentOpens &&
-         database.pool.size() < ConnectionCap(now, database);
+         database.pool.size() < ConnectionLimit(now, database);
 }
 
-/// The same for a workspace, for which an idle connection of another one may be
-/// closed.
+/// Like MayOpen, but for a workspace, for which an idle connection of another
+/// workspace may be evicted.
 bool Proxy::Impl::MayOpenFor(TimePoint now, const DatabaseState& database,
                              const std::string& workspace) const {
   const DatabasePool& pool = database.pool;
@@ -133,9 +133,10 @@
   if (pool.opening() >= kMaxConcurrentOpens || pool.opening(workspace) > 0) {
     return false;
   }
-  const uint32_t cap = ConnectionCap(now, database);
-  if (pool.size() < cap) return true;
-  return pool.size() == cap && pool.EvictableFor(now, workspace).has_value();
+  const uint32_t max_connections = ConnectionLimit(now, database);
+  if (pool.size() < max_connections) return true;
+  return pool.size() == max_connections &&
+         pool.EvictableFor(now, workspace).has_value();
 }
 
 void Proxy::Impl::OpenDatabaseConnection(TimePoint now, DatabaseState* database,
@@ -163,7 +164,7 @@
     if (each->workspace != caller.workspace) continue;
     Connection* connection = &connections_.at(each->connection);
     if (chosen == nullptr) chosen = connection;
-    // One that already has the session's variables saves bringing them.
+    // Prefer a connection that already has the session's variables.
     if (connection->variables != caller.variables) continue;
     chosen = connection;
     break;
@@ -180,7 +181,7 @@
   Connection* connection = TakeIdleConnection(now, database, caller);
   if (connection != nullptr) return connection;
   if (!MayOpenFor(now, *database, caller.workspace)) return nullptr;
-  if (database->pool.size() >= ConnectionCap(now, *database)) {
+  if (database->pool.size() >= ConnectionLimit(now, *database)) {
     const auto evicted = database->pool.EvictableFor(now, caller.workspace);
     if (!evicted.has_value()) return nullptr;
     CloseConnection(now, FindConnection(*evicted));
@@ -282,15 +283,15 @@
 
 void Proxy::Impl::ProbeGroup(TimePoint now, Group* group) {
   for (const std::string& id : group->databases) {
-    // One connection beyond the cap, so that a database of which all
-    // connections are taken is not mistaken for a silent one.
-    RequestStatus(now, FindDatabase(id), /*beyond_cap=*/true);
+    // One connection beyond the limit distinguishes a database whose
+    // connections are all in use from an unresponsive one.
+    RequestStatus(now, FindDatabase(id), /*beyond_limit=*/true);
   }
 }
 
-/// Connections can fall silent for good all at once, without a reset, while
-/// new ones work. When nothing at all has been heard of a database since a
-/// statement was sent there, its idle connections are not trusted either.
+/// Closes idle connections of a database that has sent nothing since a
+/// statement was sent at `since`. All connections can stop delivering data at
+/// once, without a reset, while new ones work.
 void Proxy::Impl::CloseUnresponsiveIdle(TimePoint now, TimePoint since,
                                         const std::string& database) {
   DatabaseState* state = FindDatabase(database);
@@ -302,8 +303,8 @@
 }
 
 void Proxy::Impl::TrimIdle(TimePoint now, DatabaseState* database) {
-  const size_t wanted = EnsureGroup(database->info.group)->is_keeper ? 1 : 0;
-  if (database->pool.idle().size() <= wanted) return;
+  const size_t min_idle = EnsureGroup(database->info.group)->is_keeper ? 1 : 0;
+  if (database->pool.idle().size() <= min_idle) return;
   const DatabasePool::Idle& oldest = database->pool.idle().front();
   const milliseconds idle_time =
       oldest.workspace.empty() ? kIdleTimeout : kWorkspaceIdleTimeout;
@@ -327,8 +328,8 @@
   return databases_.at(connection.database).last_heard <= sent_at;
 }
 
-/// Ends connections on which an answer is overdue, and openings that hang: a
-/// connection can go silent for good without a reset.
+/// Closes connections with an overdue reply and attempts that exceed the
+/// timeout: a connection can stop delivering data without a reset.
 void Proxy::Impl::CloseUnresponsive(TimePoint now) {
   std::vector<ConnectionId> unresponsive;
   std::vector<ConnectionId> stuck_opens;
@@ -340,9 +341,9 @@
     }
   }
   for (const ConnectionId id : stuck_opens) {
-    // An opening that was given up is no sign of life: the silence goes on, or
-    // a database that nobody reaches would seem to have just fallen silent with
-    // each new attempt, and its loss would be noticed a second later.
+    // An attempt that timed out is not a response, so `silent_since` is
+    // preserved. Otherwise each attempt to an unreachable database would
+    // restart its suspicion, and its loss would be detected one second later.
     DatabaseState* database = FindDatabase(FindConnection(id)->database);
     const TimePoint silent_since = database->silent_since;
     port_->CloseConnection(id);
@@ -389,8 +390,8 @@
   }
 }
 
-/// One connection stands ready to every database of a group that is kept: the
-/// first statement after a change of primary should not wait for it.
+/// Keeps at least one connection open to each database of a group, so that the
+/// first statement after a failover does not wait for one.
 void Proxy::Impl::OpenStandbyConnections(TimePoint now, const Group& group) {
   for (const std::string& id : group.databases) {
     DatabaseState* database = FindDatabase(id);
--- a/src/libcore/session/proxy_proving.cc
+++ b/src/libcore/session/proxy_proving.cc
@@ -1,5 +1,5 @@
-// Reads that only the primary may answer, and the marks that cover reads
-// elsewhere, wait until the primary is proved to have led.
+// Proofs of leadership: reads that only the primary may answer, and the marks
+// that allow reads elsewhere, wait until the primary is proved to have led.
 
 #include <algorithm>
 #include <utility>
@@ -11,25 +11,26 @@
 
 using std::chrono::milliseconds;
 
-/// Age of a read that waits for its proof from which the lead is in doubt and
-/// no more such reads are let in. Over ten times what a witness takes beside
-/// busy replicas, and early enough to be of use elsewhere.
+/// Age of the oldest unproved read from which leadership is in doubt and no new
+/// ones are accepted. Over ten times the response time of a witness with busy
+/// replicas, and early enough to retry elsewhere.
 constexpr milliseconds kProofOverdueAfter{400};
-/// Retry hint of a read whose primary could not be proved to lead: by then the
-/// proof fails for good, or there is a successor.
+/// Retry hint for a read whose proof failed: by then the proof has failed for
+/// good or a successor leads.
 constexpr milliseconds kProofRetryAfter{300};
 
 }  // namespace
 
-/// How many of the `others` prove the lead of a primary beside them.
+/// Returns how many of the `others` must act as witnesses for a proof.
 size_t Proxy::Impl::WitnessCount(const Group& group, size_t others) const {
-  // Databases that confirm commits themselves acknowledge none without a copy.
-  const size_t least = group.limits.confirms_commits ? 2 : 1;
-  return WitnessesNeeded(others + 1,
-                         std::max(settings_.confirmation->copies(), least));
+  // Databases that confirm commits themselves acknowledge none without a second
+  // copy.
+  const size_t min_copies = group.limits.confirms_commits ? 2 : 1;
+  return WitnessesNeeded(
+      others + 1, std::max(settings_.confirmation->copies(), min_copies));
 }
 
-/// Up to which moment the group's primary is proved to have led.
+/// Returns the time up to which the group's primary is proved to have led.
 TimePoint Proxy::Impl::ProvedUntil(const Group& group) const {
   std::vector<std::string> others;
   for (const std::string& id : group.databases) {
@@ -42,16 +43,17 @@
   return group.proof_required_at > ProvedUntil(group);
 }
 
-/// A proof that the primary led at `since` will be needed: others are asked
-/// while the primary is still at work on the statement, so that the proof costs
-/// no time of its own. One answer serves all that was sent before its question.
+/// Asks other databases for a proof that the primary led at `since`. They
+/// answer while the primary runs the statement, so the proof adds no latency.
+/// One answer covers all calls sent before its request.
 void Proxy::Impl::RequestProof(TimePoint now, Group* group, TimePoint since) {
   if (group == nullptr) return;
   group->proof_required_at = std::max(group->proof_required_at, since);
   PollReplicas(now, group);
 }
 
-/// The statement's answer holds if its database led at `led_at`.
+/// Finishes the request with `reply` once its database is proved to have led at
+/// `leadership_time`.
 void Proxy::Impl::FinishOnceProved(TimePoint now, Request* request,
                                    TimePoint leadership_time, Reply reply) {
   Group* group = GroupOf(*request);
@@ -75,11 +77,11 @@
   }
 }
 
-/// Another database has told which term it knows, or the primary has claimed
-/// to lead: hands out what is proved by now.
+/// Completes what is proved after another database reported its term or the
+/// primary claimed leadership.
 void Proxy::Impl::SettleProofs(TimePoint now, Group* group) {
-  const TimePoint until = ProvedUntil(*group);
-  for (const Watermarks::Mark& mark : group->proof.TakeClaims(until)) {
+  const TimePoint proved_until = ProvedUntil(*group);
+  for (const Watermarks::Mark& mark : group->proof.TakeClaims(proved_until)) {
     group->watermarks.NewTerm(group->proof.term());
     group->watermarks.Record(mark.at, mark.position);
   }
@@ -92,7 +94,7 @@
     }
     if (group->term > request->leadership_term) {
       OnProofFailed(now, request, "primary_replaced");
-    } else if (request->leadership_time <= until &&
+    } else if (request->leadership_time <= proved_until &&
                group->proof.leader() == request->database) {
       Caller* caller = FindCaller(request->caller);
       if (request->requirement == Requirement::kTransaction &&
@@ -104,8 +106,8 @@
   }
 }
 
-/// The answer may miss acknowledged commits and is thrown away. A single read
-/// is sent once more, a transaction cannot go on.
+/// Discards a reply that may miss acknowledged commits. A single read is
+/// retried; a transaction fails.
 void Proxy::Impl::OnProofFailed(TimePoint now, Request* request,
                                 const std::string& why) {
   Group* group = GroupOf(*request);
@@ -124,8 +126,8 @@
   RetryRequest(now, request);
 }
 
-/// Whether a read sent to the primary now would only wait for a proof that
-/// does not come.
+/// Whether a new read on the primary would wait for a proof that is already
+/// overdue.
 bool Proxy::Impl::IsLeadershipInDoubt(TimePoint now, const Group& group) {
   if (group.unproved_reads.empty()) return false;
   const Request* oldest = FindRequest(group.unproved_reads.front());
@@ -133,7 +135,7 @@
          now - oldest->proof_pending_since >= kProofOverdueAfter;
 }
 
-/// Whether the request reads what only a primary that leads may answer.
+/// Whether only a proved primary may serve the request.
 bool Proxy::Impl::NeedsLeadership(const Request& request,
                                   const Group& group) const {
   if (request.requirement == Requirement::kProvedRead) return true;
--- a/src/libcore/session/proxy_replies.cc
+++ b/src/libcore/session/proxy_replies.cc
@@ -1,4 +1,4 @@
-// What databases answer, and what is told to callers when they do not.
+// Replies of databases, and replies to callers when a database does not answer.
 
 #include <algorithm>
 #include <utility>
@@ -10,13 +10,13 @@
 
 using std::chrono::milliseconds;
 
-/// Pause before a database whose own queue was full gets more: about one
-/// statement's time.
+/// Backoff for a database whose queue was full: about the duration of one
+/// statement.
 constexpr milliseconds kBusyBackoff{15};
-/// Sendings of one statement at most. Each but the first follows an answer
-/// that it did not run, or the loss of a mere read.
+/// Maximum number of attempts per statement. A retry follows only a reply that
+/// the statement did not run, or the loss of a read.
 constexpr uint32_t kMaxAttempts = 8;
-/// Retry hint when the attempts are used up.
+/// Retry hint when all attempts are used.
 constexpr milliseconds kRetryAfter{100};
 
 }  // namespace
@@ -48,8 +48,8 @@
   }
   switch (call.kind) {
     case PendingCallKind::kSync:
-      // The statement behind it would run under other values than its caller
-      // was told; none is known to be refused, so the connection goes.
+      // The statement that follows would run with other values than its caller
+      // set. No such call is known to be refused, so the connection is closed.
       if (!reply.ok()) connection->unusable = true;
       break;
     case PendingCallKind::kProof:
@@ -75,10 +75,11 @@
   if (connection != nullptr) ReleaseIfIdle(now, connection);
 }
 
-/// Gives a connection with nothing under way back to the pool.
+/// Returns a connection without pending calls to the pool.
 void Proxy::Impl::ReleaseIfIdle(TimePoint now, Connection* connection) {
-  if (!connection->pending_calls.empty() || connection->pinned_caller != 0)
+  if (!connection->pending_calls.empty() || connection->pinned_caller != 0) {
     return;
+  }
   DatabaseState* database = FindDatabase(connection->database);
   connection->proof_failed = false;
   Group* group = EnsureGroup(database->info.group);
@@ -93,8 +94,9 @@
     connection->taken_at = TimePoint();
     database->pool.Return(now, connection->id);
   }
-  if (database->status_deferred)
-    RequestStatus(now, database, /*beyond_cap=*/false);
+  if (database->status_deferred) {
+    RequestStatus(now, database, /*beyond_limit=*/false);
+  }
   ServeQueues(now, group);
 }
 
@@ -106,7 +108,7 @@
     connection->proof_failed = !RecordClaim(now, group, connection->database,
                                             call.sent_at, *reply.position);
   } else if (reply.error == ErrorCode::kReadOnly) {
-    MarkDeposed(now, group, connection->database, "refuses to lead");
+    MarkDeposed(now, group, connection->database, "refused a call as replica");
   }
 }
 
@@ -150,7 +152,7 @@
   FinishRequest(now, request, std::move(begin_reply));
 }
 
-/// Draws from an error what it says about the database that gave it.
+/// Updates the state of the database that returned the error.
 void Proxy::Impl::RecordError(TimePoint now, Connection* connection,
                               const PendingCall& call, ErrorCode error) {
   DatabaseState* database = FindDatabase(connection->database);
@@ -163,10 +165,11 @@
       database->lag.Refused(now, call.position_age);
       break;
     case ErrorCode::kReadOnly:
-      MarkDeposed(now, group, database->info.id, "refuses to lead");
+      MarkDeposed(now, group, database->info.id, "refused a call as replica");
       break;
     case ErrorCode::kNoStatement:
-      // It has forgotten what it had prepared; so has this connection.
+      // The database has lost its prepared statements, and so this connection's
+      // record of them is wrong.
       connection->unusable = true;
       break;
     default:
@@ -200,8 +203,9 @@
 void Proxy::Impl::OnSingleStatementReply(TimePoint now, Connection* connection,
                                          Request* request,
                                          const PendingCall& call, Reply reply) {
-  if (request->unproved_reply.has_value())
-    return;  // the other attempt was faster
+  if (request->unproved_reply.has_value()) {
+    return;  // Another attempt was answered first.
+  }
   if (connection->unusable) {
     reply.error = ErrorCode::kNoStatement;
     if (!request->writes) {
@@ -221,7 +225,7 @@
   }
   if (reply.error == ErrorCode::kFailed && !request->writes &&
       !request->failed_once) {
-    // A read that failed once may well succeed elsewhere.
+    // A read that failed once may succeed on another database.
     request->failed_once = true;
     request->rejected_by.push_back(connection->database);
     RetryRequest(now, request);
@@ -261,7 +265,7 @@
   if (reply.error == ErrorCode::kReadOnly) {
     MarkDeposed(now,
                 EnsureGroup(FindDatabase(connection->database)->info.group),
-                connection->database, "refuses to lead");
+                connection->database, "refused a call as replica");
   }
   if (commit) {
     const bool wrote = caller->transaction.wrote;
@@ -287,12 +291,13 @@
   FinishRequest(now, request, std::move(reply));
 }
 
-/// Puts a statement that did not run, or a read whose answer is lost, back
-/// into the queue. Other attempts that still run, or an answer that waits for
-/// its proof, are left to finish it.
+/// Queues a statement again that did not run, or a read whose reply was lost.
+/// If another attempt is in flight or a reply waits for its proof, that one
+/// finishes the request.
 void Proxy::Impl::RetryRequest(TimePoint now, Request* request) {
-  if (!request->running_on.empty() || request->unproved_reply.has_value())
+  if (!request->running_on.empty() || request->unproved_reply.has_value()) {
     return;
+  }
   if (request->attempts >= kMaxAttempts || now >= request->timeout_at) {
     RefuseRequest(now, request, ErrorCode::kBusy, kRetryAfter,
                   "attempts_used_up");
@@ -331,9 +336,9 @@
   }
 }
 
-/// The connection that a statement ran on is gone without an answer. A commit
-/// or a single write may have happened; everything else has not, or will be
-/// rolled back by the database, or only read.
+/// Handles the loss of a connection with an unanswered statement. A commit or
+/// single write may have taken effect; anything else has not, will be rolled
+/// back by the database, or only reads.
 void Proxy::Impl::OnAttemptLost(TimePoint now, Request* request,
                                 ConnectionId connection) {
   std::erase(request->running_on, connection);
@@ -347,21 +352,21 @@
       caller->transaction = Transaction();
     }
     reply.error = in_doubt ? ErrorCode::kInDoubt : ErrorCode::kAborted;
-    reply.error_text = "connection lost";
+    reply.error_text = "connection lost before the reply";
     FinishRequest(now, request, std::move(reply));
   } else if (request->writes) {
     reply.error = ErrorCode::kInDoubt;
-    reply.error_text = "connection lost";
+    reply.error_text = "connection lost before the reply";
     FinishRequest(now, request, std::move(reply));
   } else {
     RetryRequest(now, request);
   }
 }
 
-/// The time that the route allows a statement is over.
+/// Handles the end of the route's statement timeout.
 void Proxy::Impl::TimeOut(TimePoint now, Request* request) {
   if (request->unconfirmed_reply.has_value()) {
-    FinishInDoubt(now, request, "no replica has received it");
+    FinishInDoubt(now, request, "no replica confirmed the commit in time");
     return;
   }
   if (request->unproved_reply.has_value()) {
@@ -376,10 +381,10 @@
   const bool commit = request->statement.kind == StatementKind::kCommit;
   Reply reply;
   reply.error = ErrorCode::kTimeout;
-  reply.error_text = "no answer in time";
+  reply.error_text = "statement timed out";
   if (request->requirement == Requirement::kTransaction) {
-    // The connection goes: what comes back late must not be taken for the
-    // answer to the next statement, and the database rolls back.
+    // The connection is closed: a late reply must not be taken for the reply to
+    // the next statement, and the database rolls back.
     if (commit) {
       if (caller->transaction.wrote) reply.error = ErrorCode::kInDoubt;
       EndTransaction(now, caller, /*roll_back=*/true);
--- a/src/libcore/session/state.h
+++ b/src/libcore/session/state.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The records that the session proxy keeps: callers, requests, connections,
-// databases, groups. Plain data; the rules are in the proxy's sources.
+// Records of the session proxy: callers, requests, connections, databases,
+// groups. Plain data; the logic is in the proxy_*.cc files.
 
 #include <chrono>
 #include <deque>
@@ -26,12 +26,13 @@
 
 using RequestId = uint64_t;
 
-/// Requests that wait in one queue at most. A request holds about 1 KB, and a
-/// queue this long could not be served within any route's goal.
+/// Maximum length of one queue. A request takes about 1 KB, and a longer queue
+/// could not be served within any route's response-time goal.
 inline constexpr uint32_t kQueueLimit = 500;
 
-/// A prepared statement as databases know it. Callers' names collide, so each
-/// distinct statement has one number, which makes the name on connections.
+/// A prepared statement as sent to databases. Callers may use the same name for
+/// different statements, so each distinct statement gets a number, from which
+/// its name on connections is derived.
 struct Prepared {
   uint64_t number = 0;
   bool writes = false;
@@ -40,58 +41,61 @@
 using PreparedRef = std::shared_ptr<const Prepared>;
 
 struct Transaction {
-  /// What it began under: a change of the route applies from the next one on,
-  /// and may move the route to another group.
+  /// Route in force when the transaction began. A route change, which may
+  /// select another group, applies from the next transaction on.
   std::shared_ptr<const Route> route;
-  /// 0 once it has failed and given its connection back.
+  /// 0 once the transaction has failed and released its connection.
   ConnectionId connection = 0;
-  /// Keeper that holds it instead; empty when it is held here.
+  /// Keeper that runs the transaction; empty when it runs here.
   std::string keeper;
   bool wrote = false;
-  /// When its begin was sent to the primary that is still to be proved to have
-  /// led then; epoch when nothing is to be proved.
+  /// Time at which the begin was sent to a primary whose leadership at that
+  /// time is not proved yet; epoch when no proof is needed.
   TimePoint unproved_since;
   TimePoint idle_deadline;
 };
 
 struct Caller {
   CallerId id = 0;
-  /// Stands in for a caller of another instance that forwards its statements.
+  /// Represents a caller of another instance that forwards its statements here.
   bool adopted = false;
-  /// Route that came with a forwarded statement.
+  /// Route received with a forwarded statement.
   std::shared_ptr<const Route> forwarded_route;
   std::string route;
-  /// Of the key that it came with.
+  /// Digest of the API key that the caller presented.
   workspace::KeyDigest key;
-  /// Empty for a caller without one. Connections of no other are used for it.
+  /// Empty for a caller without a workspace. Statements run only on connections
+  /// of the same workspace.
   std::string workspace;
-  /// Adopted only: version of the configuration by which it was admitted.
+  /// Adopted callers only: version of the configuration that admitted the
+  /// caller.
   uint64_t admission_version = 0;
-  /// Its key was taken away: the session ends with the answer under way.
+  /// The caller's key was revoked: the session closes after the pending reply.
   bool revoked = false;
   std::map<std::string, std::string> variables;
   std::map<std::string, PreparedRef> prepared;
   TransactionState state = TransactionState::kIdle;
   Transaction transaction;
-  /// Transactions and single statements sent through other instances so far,
-  /// each attempt counted.
+  /// Transactions and single statements forwarded so far, counting each
+  /// attempt.
   uint64_t forward_count = 0;
-  /// Group of `committed`; the route may move to another.
+  /// Group of `committed`; the route may change to another group.
   std::string group;
-  /// Position that holds the session's last acknowledged commit.
+  /// Position of the session's last acknowledged commit.
   LogPosition committed;
   TimePoint committed_at;
   std::optional<LogPosition> position;
-  /// 0 when nothing is unanswered.
+  /// Pending request; 0 when there is none.
   RequestId request = 0;
 };
 
-/// What a statement outside of a transaction, or its beginning, needs.
+/// What a request requires of the connection that runs it.
 enum class Requirement : uint8_t {
-  kPrimary,         ///< Runs on the primary, which itself refuses if it is not.
-  kProvedRead,      ///< A read on a primary that proves its lead beside it.
-  kReadAtPosition,  ///< A read on any log that holds a given position.
-  kTransaction,     ///< Belongs to an open transaction, on its connection.
+  kPrimary,         ///< The primary; a replica refuses the statement itself.
+  kProvedRead,      ///< A read on the primary, with proof of its leadership.
+  kReadAtPosition,  ///< A read on any database whose log holds a given
+                    ///< position.
+  kTransaction,     ///< The connection of the open transaction.
 };
 
 struct Request {
@@ -99,10 +103,10 @@
   CallerId caller = 0;
   std::string statement_id;
   Statement statement;
-  /// Names the line in the group's queues: the route's callers of one
+  /// Identifies the request's share in the group's queues: its route and
   /// workspace.
   std::string queue_key;
-  /// kExecute only.
+  /// Set for kExecute only.
   PreparedRef prepared;
   std::shared_ptr<const Route> route;
   Requirement requirement = Requirement::kPrimary;
@@ -110,50 +114,53 @@
   TimePoint arrived_at;
   TimePoint goal_deadline;
   TimePoint timeout_at;
-  /// Next time at which something is due; the key in the timer set.
+  /// Time of the next timer event; the request's key in the set of timers.
   TimePoint timer;
   bool queued = false;
-  /// Waits for the word that its workspace is below its limit.
+  /// The rate limit of its workspace has not been decided yet.
   bool awaits_limit = false;
-  /// How often another database was asked since one kept silent.
+  /// Additional attempts sent because an earlier one was not answered in time.
   uint32_t hedges = 0;
-  /// A read that a database failed was asked once more elsewhere.
+  /// A read failed on one database and was retried once on another.
   bool failed_once = false;
   uint32_t attempts = 0;
-  /// Keeper that runs it; empty when it runs here.
+  /// Instance that runs the request; empty when it runs here.
   std::string forwarded_to;
-  /// Sent to an instance that may reach a primary which this one cannot.
+  /// Forwarded to an instance that may reach a primary which is unreachable
+  /// from here.
   bool detour = false;
-  /// Waits for a keeper that has only just started.
+  /// Waits until a keeper that has just started is ready.
   bool awaits_keeper = false;
-  /// Connections on which it runs now.
+  /// Connections on which the request is in flight.
   std::vector<ConnectionId> running_on;
-  /// Databases that have turned it down and are not asked again at once.
+  /// Databases or instances that rejected the request and are not retried at
+  /// once.
   std::vector<std::string> rejected_by;
-  /// Where it ran last, for the log.
+  /// Database or keeper of the last attempt, for the log.
   std::string database;
   TimePoint sent_at;
   ErrorCode last_error = ErrorCode::kNone;
-  /// The primary's answer to a commit that no replica is known to have
-  /// received yet, and when it came.
+  /// The primary's reply to a commit that no replica is known to have received
+  /// yet, and its time of arrival.
   std::optional<Reply> unconfirmed_reply;
   TimePoint committed_at;
-  /// What a database answered to a read that is told once the database is
-  /// proved to have led at `led_at`, and since when it is kept back.
+  /// Reply to a read that is held back until the database is proved to have led
+  /// at `leadership_time` under `leadership_term`, and the time since which it
+  /// is held.
   std::optional<Reply> unproved_reply;
   TimePoint leadership_time;
   uint64_t leadership_term = 0;
   TimePoint proof_pending_since;
-  /// How often replicas were asked since.
+  /// Times that replicas were polled for this request.
   uint32_t replica_polls = 0;
 };
 
 enum class PendingCallKind : uint8_t {
-  kSync,       ///< Variable or prepared statement brought to the connection.
-  kProof,      ///< Begin beside a proved read, or a probe of the lead.
+  kSync,       ///< Variable or prepared statement of the session.
+  kProof,      ///< Begin that accompanies a proved read or probes leadership.
   kBegin,      ///< Begin of a caller's transaction.
   kStatement,  ///< A caller's statement.
-  kProxyRollback,  ///< Rollback by the proxy.
+  kProxyRollback,  ///< Rollback issued by the proxy.
   kStatus,
 };
 
@@ -162,78 +169,83 @@
   PendingCallKind kind = PendingCallKind::kSync;
   RequestId request = 0;
   TimePoint sent_at;
-  /// Age, when sent, of the position that the call asks for.
+  /// Age, when sent, of the log position that the call requires.
   std::chrono::milliseconds position_age{0};
-  /// A read that no position covers: only a primary that leads may answer it.
+  /// A read without a required position: only a proved primary may answer it.
   bool needs_proof = false;
 };
 
 struct Connection {
   ConnectionId id = 0;
   std::string database;
-  /// For its whole life; empty: of none.
+  /// Fixed for the connection's lifetime; empty for connections without a
+  /// workspace.
   std::string workspace;
   bool open = false;
   TimePoint open_deadline;
   std::map<std::string, std::string> variables;
   std::set<uint64_t> prepared;
   std::deque<PendingCall> pending_calls;
-  /// Caller whose transaction it carries; 0 when none.
+  /// Caller whose transaction runs on this connection; 0 when there is none.
   CallerId pinned_caller = 0;
-  /// The begin beside the read that follows was refused, or accepted under an
-  /// old term.
+  /// The begin that accompanies the next read was refused, or accepted under an
+  /// outdated term.
   bool proof_failed = false;
-  /// To be closed when the last answer has come.
+  /// The connection is closed once its last pending call is answered.
   bool unusable = false;
-  /// When it was last taken out of the pool.
+  /// Time at which it was last taken from the pool.
   TimePoint taken_at;
 };
 
 struct DatabaseState {
   Database info;
-  /// Missing from the list; forgotten at `gone_at`.
+  /// Missing from the platform's list; removed at `removal_at`.
   bool unlisted = false;
   TimePoint removal_at;
   TimePoint draining_since;
   DatabasePool pool;
-  /// Statements of callers that it has not answered.
+  /// Callers' statements sent and not answered.
   uint32_t in_flight = 0;
-  /// Calls of any kind, and openings, that it has not answered.
+  /// Calls of any kind and connection attempts that are not answered.
   uint32_t unanswered = 0;
   Latency latency;
-  /// How long a connection stays taken: a statement, or a whole transaction.
+  /// Time for which a connection stays in use: a statement or a whole
+  /// transaction.
   Latency hold_time;
   LagEstimate lag;
   LogPosition applied_position;
   TimePoint last_heard;
   TimePoint silent_since;
   uint32_t refusals = 0;
-  /// When it began to claim to lead; epoch when it does not.
+  /// Time since which the list shows the database as primary; epoch when it
+  /// does not.
   TimePoint claims_since;
   TimePoint open_not_before;
-  /// Its own queue was full; nothing new until then.
+  /// The database's queue was full: no new statements until this time.
   TimePoint busy_until;
   StatusReport status;
   TimePoint last_status_request_at;
-  /// When the status that is known was asked for; a later one may be pending.
+  /// Time at which the known status was requested; a later request may be
+  /// pending.
   TimePoint status_as_of;
-  /// Answers to earlier questions are those of a process that has ended.
+  /// Replies to requests sent earlier are from a process that has ended.
   TimePoint status_valid_after;
   bool status_pending = false;
-  /// It was to be asked for its status and had no connection free.
+  /// A status request could not be sent because no connection was idle.
   bool status_deferred = false;
 };
 
-/// Another instance as this one has seen it.
+/// State of another instance as observed by this one.
 struct InstanceState {
-  /// Statements forwarded there that it has not answered.
+  /// Statements forwarded to it and not answered.
   uint32_t forwards_in_flight = 0;
-  /// It gave no sign of life and is passed over until then.
+  /// The instance did not respond and is not used until this time.
   TimePoint suspected_until;
-  /// It has only just started and knows no databases yet; not asked until then.
+  /// The instance has just started, without a list of databases; not used until
+  /// this time.
   TimePoint starting_until;
-  /// Groups of which it has no primary in reach, and until when that is
-  /// believed.
+  /// Groups whose primary the instance could not reach, each with the end of
+  /// its backoff.
   std::map<std::string, TimePoint> no_primary_until;
 };
 
@@ -242,52 +254,53 @@
 
   std::string name;
   GroupLimits limits;
-  /// Whether this instance holds connections to the group's databases; if not,
-  /// its statements go to `keepers`, as while the instances are not known.
+  /// Whether this instance holds connections to the group's databases. If not,
+  /// its statements go to `keepers`. With forwarding, false until the instances
+  /// are known.
   bool is_keeper = true;
-  /// Empty: every instance holds connections.
+  /// Empty when every instance is a keeper.
   std::vector<KeeperCandidate> keepers;
-  /// The same by failure domain.
+  /// `keepers` by failure domain.
   std::map<std::string, std::vector<KeeperCandidate>> keepers_by_domain;
-  /// Ids of its databases.
+  /// Database ids.
   std::vector<std::string> databases;
-  /// Database taken for the primary; empty when unknown.
+  /// Presumed primary; empty when unknown.
   std::string primary;
   uint64_t term = 0;
-  /// When the lead was last proved, by the time of the call.
-  TimePoint proved_at;
-  /// Databases that refused to lead since they were last proved.
+  /// Time at which the newest call that the primary accepted was sent.
+  TimePoint last_claim_at;
+  /// Databases that refused to act as primary, until they claim it again.
   std::set<std::string> deposed;
-  /// A promotion was announced: who, and until when it is waited for.
+  /// Database whose promotion was announced, and how long to wait for it.
   std::string expected_primary;
   TimePoint expected_until;
   Watermarks watermarks;
   LeadershipProof proof;
-  /// Newest moment for which the lead of the primary is to be proved.
+  /// Latest time at which the primary must be proved to have led.
   TimePoint proof_required_at;
-  /// Reads that wait for a proof, the oldest first.
+  /// Reads that wait for a proof, oldest first.
   std::vector<RequestId> unproved_reads;
   admission::Queue primary_queue;
   admission::Queue read_queue;
-  /// What each line asks for as a rule, and when their shares are worked out
-  /// from it anew.
+  /// Usual demand per queue key, and the time of the next update of queue
+  /// weights from it.
   admission::UsualDemand demand;
-  /// Lines of which statements have come, and their classes.
+  /// Priority of each queue key seen so far.
   std::map<std::string, uint32_t> queue_priorities;
   TimePoint next_weight_update;
-  /// Routes that lead here.
+  /// Routes to this group.
   std::vector<std::shared_ptr<const Route>> routes;
-  /// Last time a statement came in; idle groups are not probed.
+  /// Time of the last statement; idle groups are not probed.
   TimePoint last_used_at;
   TimePoint probe_not_before;
-  /// No other instance reached the primary either: not tried until then.
+  /// No other instance reached the primary: no detours until this time.
   TimePoint no_detour_until;
-  /// Requests whose commits wait for a replica, the oldest first.
+  /// Requests whose commits wait for a replica, oldest first.
   std::vector<RequestId> unconfirmed_commits;
-  /// Position that no replica receives, while writes are turned away for it;
-  /// empty when they are let in.
+  /// Unreplicated position for which writes are refused; empty while writes
+  /// are accepted.
   LogPosition writes_held_position;
-  /// The primary that holds it.
+  /// Primary whose log holds that position.
   std::string writes_held_primary;
   TimePoint writes_held_since;
   TimePoint next_replica_poll_at;
