--- a/testsuite/routing_reads/router_test.cc
+++ b/testsuite/routing_reads/router_test.cc
@@ -32,11 +32,11 @@
   return candidate;
 }
 
-ReadNeeds NeedsOf(uint64_t index, milliseconds max_age) {
-  ReadNeeds needs;
+ReadRequirements NeedsOf(uint64_t index, milliseconds max_age) {
+  ReadRequirements needs;
   needs.seen = {index == 0 ? 0U : 1U, index};
   needs.max_age = max_age;
-  needs.near = "north";
+  needs.near_domain = "north";
   needs.deadline = kNow + milliseconds(1000);
   return needs;
 }
@@ -66,8 +66,8 @@
   return candidates;
 }
 
-ReadNeeds SomeNeeds() {
-  ReadNeeds needs = NeedsOf(0, milliseconds(*rc::gen::inRange(0, 20)));
+ReadRequirements SomeNeeds() {
+  ReadRequirements needs = NeedsOf(0, milliseconds(*rc::gen::inRange(0, 20)));
   needs.seen.term = *rc::gen::inRange<uint64_t>(0, 4);
   if (needs.seen.term > 0) {
     const uint64_t first = needs.seen.term == 1 ? 1 : 10;
@@ -77,11 +77,11 @@
   return needs;
 }
 
-// What a database that lacks part of the session's history, or is older than
-// accepted, must never be asked for. Stated again here without the router's
-// own helpers: the histories of these tests have terms 1 and 2, the second
-// from entry 10 on.
-bool MayServe(const ReadNeeds& needs, const Candidate& c, bool term_2_known) {
+// Returns whether the database may serve the read: it has the session's history
+// and is not older than accepted. Implemented without the router's helpers; the
+// histories in these tests have terms 1 and 2, the latter from entry 10 on.
+bool MayServe(const ReadRequirements& needs, const Candidate& c,
+              bool term_2_known) {
   if (!c.usable || c.age > needs.max_age) return false;
   LogPosition seen = needs.seen;
   if (term_2_known && seen.term == 1) {
@@ -92,23 +92,22 @@
   return seen.index <= c.last.index;
 }
 
-// A caller saves a record and reads it back at once from a replica that has
-// not received it yet: the record is not there. Or a caller that accepts data
-// of ten milliseconds gets older data.
+// Guards against two stale reads: a caller reads its own write from a replica
+// that has not received it, or gets data older than the age it accepts.
 RC_GTEST_PROP(Router, ServesOnlyWhatCoversTheSessionAndIsFreshEnough, ()) {
   const auto candidates = SomeCandidates();
-  const ReadNeeds needs = SomeNeeds();
-  const bool known =
+  const ReadRequirements needs = SomeNeeds();
+  const bool has_term_2 =
       std::any_of(candidates.begin(), candidates.end(),
                   [](const Candidate& c) { return c.last.term == 2; });
-  const Route route = ChooseForRead(kNow, needs, candidates);
+  const Route route = ChooseReadRoute(kNow, needs, candidates);
   const Candidate* chosen = nullptr;
   bool any_free = false;
   bool any_replica = false;
   bool any_busy = false;
   for (const Candidate& c : candidates) {
     if (c.database == route.database) chosen = &c;
-    if (!MayServe(needs, c, known)) continue;
+    if (!MayServe(needs, c, has_term_2)) continue;
     any_free = any_free || c.has_free_slot;
     any_replica = any_replica || (c.has_free_slot && !c.primary);
     any_busy = any_busy || !c.has_free_slot;
@@ -116,7 +115,7 @@
   RC_ASSERT((route.kind == RouteKind::kServe) == any_free);
   if (route.kind == RouteKind::kServe) {
     RC_ASSERT(chosen != nullptr);
-    RC_ASSERT(MayServe(needs, *chosen, known));
+    RC_ASSERT(MayServe(needs, *chosen, has_term_2));
     RC_ASSERT(chosen->has_free_slot);
     RC_ASSERT(!(chosen->primary && any_replica));
   }
@@ -125,11 +124,11 @@
 }
 
 RC_GTEST_PROP(Router, WaitsAreAheadAndEndBeforeTheDeadline, ()) {
-  const ReadNeeds needs = SomeNeeds();
-  const Route route = ChooseForRead(kNow, needs, SomeCandidates());
+  const ReadRequirements needs = SomeNeeds();
+  const Route route = ChooseReadRoute(kNow, needs, SomeCandidates());
   if (route.kind != RouteKind::kWait) return;
-  RC_ASSERT(route.look_again > kNow);
-  RC_ASSERT(route.look_again < needs.deadline);
+  RC_ASSERT(route.retry_at > kNow);
+  RC_ASSERT(route.retry_at < needs.deadline);
 }
 
 TEST(Router, PrefersReplicasThenTheNearDomainThenTheLeastBusy) {
@@ -139,56 +138,57 @@
   all[2].failure_domain = "north";
   all[2].running = 2;
   all[3].failure_domain = "north";
-  const ReadNeeds needs = NeedsOf(9, milliseconds(0));
-  EXPECT_EQ(ChooseForRead(kNow, needs, all).database, "near_idle");
+  const ReadRequirements needs = NeedsOf(9, milliseconds(0));
+  EXPECT_EQ(ChooseReadRoute(kNow, needs, all).database, "near_idle");
   all.pop_back();
-  EXPECT_EQ(ChooseForRead(kNow, needs, all).database, "near");
+  EXPECT_EQ(ChooseReadRoute(kNow, needs, all).database, "near");
   all.pop_back();
-  EXPECT_EQ(ChooseForRead(kNow, needs, all).database, "far");
+  EXPECT_EQ(ChooseReadRoute(kNow, needs, all).database, "far");
   all.pop_back();
-  EXPECT_EQ(ChooseForRead(kNow, needs, all).database, "p");
+  EXPECT_EQ(ChooseReadRoute(kNow, needs, all).database, "p");
 }
 
-// One replica falls far behind. Reads that it cannot serve must neither wait
-// for it nor go to the primary while the other replica can serve them.
-TEST(Router, OneReplicaFarBehindDoesNotHurt) {
+// One replica is far behind. Reads that it cannot serve must neither wait for
+// it nor go to the primary while the other replica can serve them.
+TEST(Router, UsesTheOtherReplicaWhenOneIsFarBehind) {
   std::vector<Candidate> all = {Primary("p", 1000), Replica("behind", 5),
                                 Replica("level", 1000)};
   all[1].age = milliseconds(60000);
   all[1].catches_up_at = kNow + milliseconds(900);
-  const Route route = ChooseForRead(kNow, NeedsOf(900, milliseconds(5)), all);
+  const Route route = ChooseReadRoute(kNow, NeedsOf(900, milliseconds(5)), all);
   EXPECT_EQ(route.kind, RouteKind::kServe);
   EXPECT_EQ(route.database, "level");
 }
 
-TEST(Router, WaitsForAReplicaOnlyIfThatBeatsThePrimary) {
+TEST(Router, WaitsForAReplicaOnlyIfThePrimaryHasNoFreeSlot) {
   std::vector<Candidate> all = {Primary("p", 10), Replica("r", 8)};
   all[1].catches_up_at = kNow + milliseconds(3);
-  const ReadNeeds needs = NeedsOf(10, milliseconds(50));
-  EXPECT_EQ(ChooseForRead(kNow, needs, all).database, "p");
+  const ReadRequirements needs = NeedsOf(10, milliseconds(50));
+  EXPECT_EQ(ChooseReadRoute(kNow, needs, all).database, "p");
   all[0].has_free_slot = false;
-  const Route route = ChooseForRead(kNow, needs, all);
+  const Route route = ChooseReadRoute(kNow, needs, all);
   EXPECT_EQ(route.kind, RouteKind::kWait);
-  EXPECT_EQ(route.look_again, kNow + milliseconds(3));
+  EXPECT_EQ(route.retry_at, kNow + milliseconds(3));
 }
 
-// An expectation that has passed without the replica catching up would make
-// the keeper look again at once, for ever, at full processor load.
+// Waiting for an estimated catch-up time in the past would make the keeper
+// route the read again immediately, in a busy loop.
 TEST(Router, AnExpectationThatHasPassedIsNoReasonToWait) {
   std::vector<Candidate> all = {Replica("r", 8)};
   all[0].catches_up_at = kNow;
-  EXPECT_EQ(ChooseForRead(kNow, NeedsOf(10, milliseconds(50)), all).kind,
+  EXPECT_EQ(ChooseReadRoute(kNow, NeedsOf(10, milliseconds(50)), all).kind,
             RouteKind::kNone);
 }
 
-// The session read writes of term 1 that the promotion to term 2 discarded.
-// The replica has not received the first entry of term 2 yet and cannot know
-// that; the primary's term starts tell it.
+// The session read writes of term 1 that the promotion to term 2 discarded. The
+// replica has not received the first entry of term 2 yet; only the term starts
+// of the primary show which entries were discarded.
 TEST(Router, DiscardedPositionsAreNotWaitedFor) {
   std::vector<Candidate> all = {Primary("p", 91), Replica("r", 89)};
   all[0].last = {2, 91};
   all[0].term_starts = {{1, 1}, {2, 90}};
-  const Route route = ChooseForRead(kNow, NeedsOf(100, milliseconds(50)), all);
+  const Route route =
+      ChooseReadRoute(kNow, NeedsOf(100, milliseconds(50)), all);
   EXPECT_EQ(route.kind, RouteKind::kServe);
   EXPECT_EQ(route.database, "r");
 }
