--- a/src/include/ryefold/core/session/proxy.h
+++ b/src/include/ryefold/core/session/proxy.h
@@ -42,16 +42,16 @@
   /// long, or connection attempts fail.
   bool responsive = true;
   /// Time of the last response of any kind; epoch if there was none.
-  TimePoint last_heard;
+  TimePoint last_contact;
   /// Time since which calls have been pending without any response; epoch when
   /// none is pending.
-  TimePoint silent_since;
+  TimePoint unanswered_since;
   /// Consecutive refused connection attempts.
   uint32_t refusals = 0;
   /// Newest status received, and the time at which it was requested; epoch if
   /// there is none.
   StatusReport status;
-  TimePoint status_asked;
+  TimePoint status_requested_at;
   /// Highest log position that any response reported as applied.
   LogPosition applied;
   uint32_t connections = 0;
@@ -67,7 +67,7 @@
   size_t waiting = 0;
   /// Whether this instance is a keeper of the group: it holds connections to
   /// the databases.
-  bool kept = true;
+  bool is_keeper = true;
   /// Writes are refused because no replica receives commits.
   bool writes_held = false;
   std::vector<DatabaseView> databases;
@@ -109,7 +109,7 @@
   /// A caller has at most one statement pending at any time.
   void CallerStatement(TimePoint now, CallerId caller, const std::string& id,
                        Statement statement);
-  void CallerGone(TimePoint now, CallerId caller);
+  void CallerDisconnected(TimePoint now, CallerId caller);
 
   void ConnectionOpened(TimePoint now, ConnectionId connection);
   void ConnectionRefused(TimePoint now, ConnectionId connection,
@@ -142,7 +142,7 @@
   void RoutesConfirmed(TimePoint when);
   /// Runs a statement forwarded by another instance and passes the reply to
   /// `Forwarder`. For a statement answered outside of a transaction, the owner
-  /// ends the adopted session with `CallerGone`.
+  /// ends the adopted session with `CallerDisconnected`.
   void AdoptStatement(TimePoint now, CallerId caller,
                       ForwardedStatement statement);
 
--- a/src/libcore/failover/coordinator.cc
+++ b/src/libcore/failover/coordinator.cc
@@ -26,8 +26,8 @@
 std::string DescribeDatabases(TimePoint now, const GroupView& group) {
   std::string text;
   for (const DatabaseView& database : group.databases) {
-    const auto age =
-        std::chrono::duration_cast<milliseconds>(now - database.status_asked);
+    const auto age = std::chrono::duration_cast<milliseconds>(
+        now - database.status_requested_at);
     if (!text.empty()) text.append(",");
     text.append(database.id).append(":");
     text.append(std::to_string(ReceivedPosition(database).index)).append("@");
@@ -57,8 +57,8 @@
   if (primary->draining) return "primary is draining";
   if (primary->refusals >= timing_.refusal_limit) return "connection refused";
   const bool unreachable =
-      primary->silent_since != TimePoint() &&
-      now - primary->silent_since >= timing_.primary_timeout;
+      primary->unanswered_since != TimePoint() &&
+      now - primary->unanswered_since >= timing_.primary_timeout;
   if (unreachable) return "primary unreachable";
   const bool stalled =
       state->stalled_since != TimePoint() &&
@@ -79,8 +79,8 @@
   bool all_recent = primary != nullptr;
   for (const DatabaseView& database : group.databases) {
     if (database.draining) continue;
-    all_recent = all_recent &&
-                 now - database.status_asked <= timing_.max_stall_status_age;
+    all_recent = all_recent && now - database.status_requested_at <=
+                                   timing_.max_stall_status_age;
     if (database.id == group.primary) continue;
     ++replicas;
     received = std::max(received, database.status.received);
@@ -107,7 +107,7 @@
   for (const DatabaseView& database : group.databases) {
     if (database.id == group.primary || database.draining) continue;
     if (database.refusals > 0 || !database.responsive) continue;
-    if (now - database.last_heard > timing_.max_status_age) continue;
+    if (now - database.last_contact > timing_.max_status_age) continue;
     if (best == nullptr ||
         ReceivedPosition(database) > ReceivedPosition(*best)) {
       best = &database;
@@ -119,14 +119,16 @@
 /// Returns whether a replica answers other calls but has no recent status.
 bool Coordinator::HasStaleReplicaStatus(TimePoint now,
                                         const GroupView& group) const {
-  return std::any_of(
-      group.databases.begin(), group.databases.end(),
-      [this, now, &group](const DatabaseView& database) {
-        const bool counts = database.id != group.primary &&
-                            !database.draining && database.refusals == 0 &&
-                            now - database.last_heard <= timing_.max_status_age;
-        return counts && now - database.status_asked > timing_.max_status_age;
-      });
+  return std::any_of(group.databases.begin(), group.databases.end(),
+                     [this, now, &group](const DatabaseView& database) {
+                       const bool counts = database.id != group.primary &&
+                                           !database.draining &&
+                                           database.refusals == 0 &&
+                                           now - database.last_contact <=
+                                               timing_.max_status_age;
+                       return counts && now - database.status_requested_at >
+                                            timing_.max_status_age;
+                     });
 }
 
 /// Returns whether the primary is alive and another replica has received
@@ -197,10 +199,10 @@
         .Add("token", *token)
         .Add("term", group.term)
         .Add("received", ReceivedPosition(*candidate).index)
-        .Add("status_age", now - candidate->status_asked)
+        .Add("status_age", now - candidate->status_requested_at)
         .Add("known", DescribeDatabases(now, group))
         .Add("primary_heard",
-             primary == nullptr ? now - now : now - primary->last_heard);
+             primary == nullptr ? now - now : now - primary->last_contact);
     state.promotion_deadline = now + timing_.promotion_timeout;
     state.ordered_database = candidate->id;
     authority_->Promote(group.group, candidate->id, *token);
--- a/src/libcore/session/proxy.cc
+++ b/src/libcore/session/proxy.cc
@@ -107,12 +107,12 @@
   view.draining = database.info.draining;
   view.primary = group.primary == database.info.id;
   view.responsive = !IsDatabaseSuspected(now, database);
-  view.last_heard = database.last_heard;
-  view.silent_since = database.silent_since;
+  view.last_contact = database.last_contact;
+  view.unanswered_since = database.unanswered_since;
   view.refusals = database.refusals;
   view.status = database.status;
   view.applied = database.applied_position;
-  view.status_asked = database.status_as_of;
+  view.status_requested_at = database.status_as_of;
   view.connections = database.pool.size();
   view.in_flight = database.in_flight;
   return view;
@@ -126,7 +126,7 @@
     view.primary = group->primary;
     view.term = group->term;
     view.waiting = group->primary_queue.size() + group->read_queue.size();
-    view.kept = group->is_keeper;
+    view.is_keeper = group->is_keeper;
     view.writes_held = group->writes_held_position != LogPosition();
     for (const std::string& id : group->databases) {
       view.databases.push_back(
@@ -152,8 +152,8 @@
                             const std::string& id, Statement statement) {
   impl_->CallerStatement(now, caller, id, std::move(statement));
 }
-void Proxy::CallerGone(TimePoint now, CallerId caller) {
-  impl_->CallerGone(now, caller);
+void Proxy::CallerDisconnected(TimePoint now, CallerId caller) {
+  impl_->CallerDisconnected(now, caller);
 }
 void Proxy::ConnectionOpened(TimePoint now, ConnectionId connection) {
   impl_->ConnectionOpened(now, connection);
--- a/src/libcore/session/proxy_callers.cc
+++ b/src/libcore/session/proxy_callers.cc
@@ -393,7 +393,7 @@
                     {PendingCallKind::kProxyRollback});
 }
 
-void Proxy::Impl::CallerGone(TimePoint now, CallerId id) {
+void Proxy::Impl::CallerDisconnected(TimePoint now, CallerId id) {
   Caller* caller = FindCaller(id);
   if (caller == nullptr) return;
   Request* request = FindRequest(caller->request);
@@ -445,7 +445,7 @@
   for (const CallerId id : ended) {
     const bool open = callers_.at(id).state == TransactionState::kOpen;
     const bool adopted = callers_.at(id).adopted;
-    CallerGone(now, id);
+    CallerDisconnected(now, id);
     if (adopted) continue;  // The reply to its next statement reports the end.
     port_->CloseCaller(id, open ? ErrorCode::kAborted : ErrorCode::kNone,
                        "instance is shutting down");
--- a/src/libcore/session/proxy_forwarding.cc
+++ b/src/libcore/session/proxy_forwarding.cc
@@ -283,7 +283,7 @@
   if (caller != nullptr && caller->request != 0) {
     // The forwarding instance has given up the statement that still runs here.
     // Its reply must not be taken for the reply to this one.
-    CallerGone(now, id);
+    CallerDisconnected(now, id);
     caller = nullptr;
   }
   if (caller == nullptr) {
--- a/src/libcore/session/proxy_identity.cc
+++ b/src/libcore/session/proxy_identity.cc
@@ -30,7 +30,7 @@
       .Add("config_version", route_table_.version)
       .Add("config_age", now - routes_confirmed_at_);
   const CallerId id = caller->id;
-  CallerGone(now, id);
+  CallerDisconnected(now, id);
   port_->CloseCaller(id, ErrorCode::kUnknownKey, "key is not configured");
   return false;
 }
@@ -92,7 +92,7 @@
     const Caller* caller = FindCaller(id);
     if (caller != nullptr && caller->request != 0) continue;
     const bool adopted = caller != nullptr && caller->adopted;
-    CallerGone(now, id);
+    CallerDisconnected(now, id);
     revoked_callers_.erase(id);
     if (adopted) continue;  // The reply to its next statement reports the end.
     port_->CloseCaller(id, ErrorCode::kUnknownKey, "key was revoked");
--- a/src/libcore/session/proxy_impl.h
+++ b/src/libcore/session/proxy_impl.h
@@ -29,7 +29,7 @@
                      const workspace::KeyDigest& key);
   void CallerStatement(TimePoint now, CallerId id,
                        const std::string& statement_id, Statement statement);
-  void CallerGone(TimePoint now, CallerId id);
+  void CallerDisconnected(TimePoint now, CallerId id);
   void Drain(TimePoint now, TimePoint transactions_until, TimePoint end);
   void DrainCallers(TimePoint now);
   void EndIdleTransactions(TimePoint now);
--- a/src/libcore/session/proxy_leadership.cc
+++ b/src/libcore/session/proxy_leadership.cc
@@ -170,8 +170,9 @@
   const bool too_early = requested_at < group->proof_required_at;
   if (too_early && NeedsProof(*group)) PollReplicas(now, group);
   if (!report.primary) {
-    if (group->primary == id)
+    if (group->primary == id) {
       MarkDeposed(now, group, id, "status reports a replica");
+    }
     return;
   }
   if (report.term < group->term || group->primary == id) return;
@@ -216,8 +217,8 @@
 bool Proxy::Impl::ProbeUnresponsivePrimary(TimePoint now,
                                            DatabaseState* primary) {
   if (primary == nullptr || !primary->pool.idle().empty()) return false;
-  if (primary->silent_since == TimePoint()) return false;
-  if (now - primary->silent_since < kExtraProbeAfter) return false;
+  if (primary->unanswered_since == TimePoint()) return false;
+  if (now - primary->unanswered_since < kExtraProbeAfter) return false;
   RequestStatus(now, primary, /*beyond_limit=*/true);
   return true;
 }
--- a/src/libcore/session/proxy_pool.cc
+++ b/src/libcore/session/proxy_pool.cc
@@ -65,10 +65,10 @@
       database.pool.size() == database.pool.opening()) {
     return true;
   }
-  if (database.silent_since == TimePoint()) return false;
+  if (database.unanswered_since == TimePoint()) return false;
   const auto usual_latency = std::chrono::duration_cast<milliseconds>(
       database.latency.mean() * kSuspicionLatencyFactor);
-  return now - database.silent_since >
+  return now - database.unanswered_since >
          std::max(kMinSuspicionTime, usual_latency);
 }
 
@@ -192,12 +192,14 @@
 }
 
 void Proxy::Impl::RecordCallSent(TimePoint now, DatabaseState* database) {
-  if (database->silent_since == TimePoint()) database->silent_since = now;
+  if (database->unanswered_since == TimePoint()) {
+    database->unanswered_since = now;
+  }
 }
 
 void Proxy::Impl::RecordContact(TimePoint now, DatabaseState* database) {
-  database->last_heard = now;
-  database->silent_since = database->unanswered > 0 ? now : TimePoint();
+  database->last_contact = now;
+  database->unanswered_since = database->unanswered > 0 ? now : TimePoint();
 }
 
 void Proxy::Impl::ConnectionOpened(TimePoint now, ConnectionId id) {
@@ -233,7 +235,7 @@
     Event(events_, EventWeight::kState, "database_refuses")
         .Add("database", database->info.id)
         .Add("error", ErrorName(error))
-        .Add("last_heard", now - database->last_heard);
+        .Add("last_heard", now - database->last_contact);
   }
   const uint32_t doublings =
       std::min(database->refusals - 1, kMaxBackoffDoublings);
@@ -257,7 +259,7 @@
   }
   if (!connection.open) ++unanswered;
   database->unanswered -= std::min(unanswered, database->unanswered);
-  if (database->unanswered == 0) database->silent_since = TimePoint();
+  if (database->unanswered == 0) database->unanswered_since = TimePoint();
   database->pool.Remove(id);
   connections_.erase(found);
   (void)now;
@@ -295,7 +297,7 @@
 void Proxy::Impl::CloseUnresponsiveIdle(TimePoint now, TimePoint since,
                                         const std::string& database) {
   DatabaseState* state = FindDatabase(database);
-  if (state == nullptr || state->last_heard > since) return;
+  if (state == nullptr || state->last_contact > since) return;
   const std::vector<DatabasePool::Idle> idle = state->pool.idle();
   for (const DatabasePool::Idle& each : idle) {
     CloseConnection(now, FindConnection(each.connection));
@@ -325,7 +327,7 @@
                            each.kind == PendingCallKind::kBegin;
                   });
   if (for_callers || now - sent_at <= kInternalCallTimeout) return false;
-  return databases_.at(connection.database).last_heard <= sent_at;
+  return databases_.at(connection.database).last_contact <= sent_at;
 }
 
 /// Closes connections with an overdue reply and attempts that exceed the
@@ -341,14 +343,14 @@
     }
   }
   for (const ConnectionId id : stuck_opens) {
-    // An attempt that timed out is not a response, so `silent_since` is
+    // An attempt that timed out is not a response, so `unanswered_since` is
     // preserved. Otherwise each attempt to an unreachable database would
     // restart its suspicion, and its loss would be detected one second later.
     DatabaseState* database = FindDatabase(FindConnection(id)->database);
-    const TimePoint silent_since = database->silent_since;
+    const TimePoint unanswered_since = database->unanswered_since;
     port_->CloseConnection(id);
     ConnectionRefused(now, id, ErrorCode::kTimeout);
-    database->silent_since = silent_since;
+    database->unanswered_since = unanswered_since;
   }
   for (const ConnectionId id : unresponsive) {
     port_->CloseConnection(id);
--- a/src/libcore/session/state.h
+++ b/src/libcore/session/state.h
@@ -214,8 +214,8 @@
   Latency hold_time;
   LagEstimate lag;
   LogPosition applied_position;
-  TimePoint last_heard;
-  TimePoint silent_since;
+  TimePoint last_contact;
+  TimePoint unanswered_since;
   uint32_t refusals = 0;
   /// Time since which the list shows the database as primary; epoch when it
   /// does not.
--- a/src/ryefoldd/forwarding_host.cc
+++ b/src/ryefoldd/forwarding_host.cc
@@ -160,7 +160,7 @@
 
 void ForwardingHost::GiveUp(CallerId caller) {
   calls_.erase(caller);
-  proxy_->CallerGone(BootTime(), caller);
+  proxy_->CallerDisconnected(BootTime(), caller);
 }
 
 void ForwardingHost::AnswerForwarded(CallerId caller, const Reply& reply) {
@@ -171,7 +171,8 @@
   call.Reply(wire::WriteForwardedReply(reply));
   if (reply.state == TransactionState::kOpen) return;
   adopted_.Erase(caller);
-  loop_->Post([this, caller] { proxy_->CallerGone(BootTime(), caller); });
+  loop_->Post(
+      [this, caller] { proxy_->CallerDisconnected(BootTime(), caller); });
 }
 
 }  // namespace ryefold::ryefoldd
--- a/src/ryefoldd/gateway_status.cc
+++ b/src/ryefoldd/gateway_status.cc
@@ -29,9 +29,9 @@
   value["primary"] = database.primary;
   value["draining"] = database.draining;
   value["responsive"] = database.responsive;
-  value["heard_ms_ago"] = Age(now, database.last_heard);
+  value["heard_ms_ago"] = Age(now, database.last_contact);
   value["received"] = PositionText(database.status.received);
-  value["status_ms_ago"] = Age(now, database.status_asked);
+  value["status_ms_ago"] = Age(now, database.status_requested_at);
   value["connections"] = database.connections;
   value["in_flight"] = database.in_flight;
   return value;
@@ -43,7 +43,7 @@
   value["primary"] = group.primary;
   value["term"] = static_cast<Json::UInt64>(group.term);
   value["waiting"] = static_cast<Json::UInt64>(group.waiting);
-  value["kept"] = group.kept;
+  value["kept"] = group.is_keeper;
   value["writes_held"] = group.writes_held;
   value["databases"] = Json::arrayValue;
   for (const DatabaseView& database : group.databases) {
--- a/testsuite/failover_after_promotion/candidate_test.cc
+++ b/testsuite/failover_after_promotion/candidate_test.cc
@@ -36,8 +36,8 @@
     database.id = id;
     database.status.received = received;
     database.status.term = received.term;
-    database.status_asked = At(0);
-    database.last_heard = At(0);
+    database.status_requested_at = At(0);
+    database.last_contact = At(0);
     group_.databases.push_back(database);
     return &group_.databases.back();
   }
@@ -60,7 +60,7 @@
   DatabaseView* failed = Add("b", {1, 109});
   failed->primary = true;
   failed->responsive = false;
-  failed->silent_since = At(-3000);
+  failed->unanswered_since = At(-3000);
   Add("c", {1, 109});
   for (int64_t now = 0; now <= 400; now += 100) {
     coordinator.EvaluateGroups(At(now), {group_}, 7);
--- a/testsuite/failover_coordinator/coordinator_test.cc
+++ b/testsuite/failover_coordinator/coordinator_test.cc
@@ -57,9 +57,9 @@
     for (int64_t now = from; now <= to; now += 100) {
       for (DatabaseView& database : group_.databases) {
         if (unreachable_.count(database.id) > 0) continue;
-        database.last_heard = At(now);
+        database.last_contact = At(now);
         if (busy_.count(database.id) > 0) continue;
-        database.status_asked = At(now);
+        database.status_requested_at = At(now);
       }
       coordinator_.EvaluateGroups(At(now), {group_}, token);
     }
@@ -107,7 +107,7 @@
 // database is primary, so one is promoted after 750 ms, and only once.
 TEST_F(CoordinatorTest, PromotesAReplicaWhenThePrimaryIsUnreachable) {
   unreachable_.insert("a");
-  View(0).silent_since = At(0);
+  View(0).unanswered_since = At(0);
   View(0).responsive = false;
   Run(0, 700);
   EXPECT_TRUE(orders_.empty());
@@ -121,7 +121,7 @@
 // unnecessary promotion would interrupt writes for about a second.
 TEST_F(CoordinatorTest, DoesNotReplaceASlowPrimary) {
   for (int64_t now = 0; now < 10000; now += 600) {
-    View(0).silent_since = At(now);
+    View(0).unanswered_since = At(now);
     View(0).responsive = false;
     Run(now, now + 500);
   }
@@ -216,7 +216,7 @@
 TEST_F(CoordinatorTest, DoesNotPromoteWhenNoReplicaAnswers) {
   unreachable_ = {"a", "b", "c"};
   for (DatabaseView& database : group_.databases) {
-    database.silent_since = At(0);
+    database.unanswered_since = At(0);
     database.responsive = false;
   }
   Run(0, 5000);
--- a/testsuite/session_isolation/isolation_test.cc
+++ b/testsuite/session_isolation/isolation_test.cc
@@ -45,7 +45,7 @@
 
   InstanceHost& HostOf(CallerId caller) { return *hosts_[caller - 1]; }
   bool Kept(CallerId caller) {
-    return HostOf(caller).proxy()->groups(clock_.now()).front().kept;
+    return HostOf(caller).proxy()->groups(clock_.now()).front().is_keeper;
   }
   void Run(milliseconds span) { clock_.RunUntil(clock_.now() + span); }
 
--- a/testsuite/session_proxy/proxy_test.cc
+++ b/testsuite/session_proxy/proxy_test.cc
@@ -45,7 +45,7 @@
     EXPECT_EQ(database.status.received, LogPosition());
     EXPECT_EQ(database.applied, LogPosition());
     // Unknown is not nothing: a choice of successor has to wait for its answer.
-    EXPECT_EQ(database.status_asked, TimePoint());
+    EXPECT_EQ(database.status_requested_at, TimePoint());
   }
   Run(300);
   EXPECT_EQ(Write(0, 1), ErrorCode::kInDoubt);
@@ -86,8 +86,8 @@
   const auto view = hosts_[0]->proxy()->groups(clock_.now()).front();
   for (const auto& database : view.databases) {
     if (database.id != "db-a") continue;
-    EXPECT_NE(database.silent_since, TimePoint());
-    EXPECT_GT(clock_.now() - database.silent_since, milliseconds(2000));
+    EXPECT_NE(database.unanswered_since, TimePoint());
+    EXPECT_GT(clock_.now() - database.unanswered_since, milliseconds(2000));
   }
 }
 
@@ -289,7 +289,9 @@
   fleet_.connection_limit = 53;
   Make(kInstances);
   size_t entry = 0;
-  while (hosts_[entry]->proxy()->groups(clock_.now()).front().kept) ++entry;
+  while (hosts_[entry]->proxy()->groups(clock_.now()).front().is_keeper) {
+    ++entry;
+  }
   Start(entry, 1, "primary");
   ASSERT_EQ(Ask(entry, 1, StatementKind::kBegin, "BEGIN"), ErrorCode::kNone);
   ASSERT_EQ(Read(entry, 1), ErrorCode::kNone);
--- a/testsuite/support/session/instance_host.h
+++ b/testsuite/support/session/instance_host.h
@@ -299,7 +299,7 @@
       if (!caller.has_value()) return;
       target->adopted_.Erase(*caller);
       target->answers_.erase(*caller);
-      target->proxy_->CallerGone(target->clock_->now(), *caller);
+      target->proxy_->CallerDisconnected(target->clock_->now(), *caller);
     });
   }
   void AnswerForwarded(CallerId caller, const Reply& reply) override {
@@ -311,7 +311,7 @@
     if (reply.state == TransactionState::kOpen) return;
     adopted_.Erase(caller);
     clock_->After(milliseconds(0), [this, caller, life = life_] {
-      if (life == life_) proxy_->CallerGone(clock_->now(), caller);
+      if (life == life_) proxy_->CallerDisconnected(clock_->now(), caller);
     });
   }
 
@@ -322,7 +322,7 @@
         adopted_.Enter(statement.session, statement.in_transaction);
     if (entry.abandoned != 0) {
       answers_.erase(entry.abandoned);
-      proxy_->CallerGone(clock_->now(), entry.abandoned);
+      proxy_->CallerDisconnected(clock_->now(), entry.abandoned);
     }
     answers_[entry.caller] = std::move(answer);
     proxy_->AdoptStatement(clock_->now(), entry.caller, statement);
