--- a/src/libcore/session/proxy_proving.cc
+++ b/src/libcore/session/proxy_proving.cc
@@ -1,5 +1,5 @@
-// Reads that only the primary may answer, and the marks that cover reads
-// elsewhere, wait until the primary is proved to have led.
+// Proofs of leadership: reads that only the primary may answer, and the marks
+// that allow reads elsewhere, wait until the primary is proved to have led.
 
 #include <algorithm>
 #include <utility>
@@ -11,131 +11,137 @@
 
 using std::chrono::milliseconds;
 
-/// Age of a read that waits for its proof from which the lead is in doubt and
-/// no more such reads are let in. Over ten times what a witness takes beside
-/// busy replicas, and early enough to be of use elsewhere.
-constexpr milliseconds kDoubtAfter{400};
-/// Retry hint of a read whose primary could not be proved to lead: by then the
-/// proof fails for good, or there is a successor.
-constexpr milliseconds kDoubtRetry{300};
+/// Age of the oldest unproved read from which leadership is in doubt and no new
+/// ones are accepted. Over ten times the response time of a witness with busy
+/// replicas, and early enough to retry elsewhere.
+constexpr milliseconds kProofOverdueAfter{400};
+/// Retry hint for a read whose proof failed: by then the proof has failed for
+/// good or a successor leads.
+constexpr milliseconds kProofRetryAfter{300};
 
 }  // namespace
 
-/// How many of the `others` prove the lead of a primary beside them.
-size_t Proxy::Impl::Witnesses(const Group& group, size_t others) const {
-  // Databases that confirm commits themselves acknowledge none without a copy.
-  const size_t least = group.limits.confirms_commits ? 2 : 1;
-  return WitnessesNeeded(others + 1,
-                         std::max(settings_.confirmation->copies(), least));
+/// Returns how many of the `others` must act as witnesses for a proof.
+size_t Proxy::Impl::WitnessCount(const Group& group, size_t others) const {
+  // Databases that confirm commits themselves acknowledge none without a second
+  // copy.
+  const size_t min_copies = group.limits.confirms_commits ? 2 : 1;
+  return WitnessesNeeded(
+      others + 1, std::max(settings_.confirmation->copies(), min_copies));
 }
 
-/// Up to which moment the group's primary is proved to have led.
+/// Returns the time up to which the group's primary is proved to have led.
 TimePoint Proxy::Impl::ProvedUntil(const Group& group) const {
   std::vector<std::string> others;
   for (const std::string& id : group.databases) {
     if (id != group.proof.leader()) others.push_back(id);
   }
-  return group.proof.ProvedUntil(others, Witnesses(group, others.size()));
+  return group.proof.ProvedUntil(others, WitnessCount(group, others.size()));
 }
 
-bool Proxy::Impl::ProofWanted(const Group& group) const {
-  return group.proof_wanted > ProvedUntil(group);
+bool Proxy::Impl::NeedsProof(const Group& group) const {
+  return group.proof_required_at > ProvedUntil(group);
 }
 
-/// A proof that the primary led at `since` will be needed: others are asked
-/// while the primary is still at work on the statement, so that the proof costs
-/// no time of its own. One answer serves all that was sent before its question.
-void Proxy::Impl::WantProof(TimePoint now, Group* group, TimePoint since) {
+/// Asks other databases for a proof that the primary led at `since`. They
+/// answer while the primary runs the statement, so the proof adds no latency.
+/// One answer covers all calls sent before its request.
+void Proxy::Impl::RequestProof(TimePoint now, Group* group, TimePoint since) {
   if (group == nullptr) return;
-  group->proof_wanted = std::max(group->proof_wanted, since);
-  AskReplicas(now, group);
+  group->proof_required_at = std::max(group->proof_required_at, since);
+  PollReplicas(now, group);
 }
 
-/// The statement's answer holds if its database led at `led_at`.
-void Proxy::Impl::TellOnceProved(TimePoint now, Request* request,
-                                 TimePoint led_at, Reply reply) {
+/// Finishes the request with `reply` once its database is proved to have led at
+/// `leadership_time`.
+void Proxy::Impl::FinishOnceProved(TimePoint now, Request* request,
+                                   TimePoint leadership_time, Reply reply) {
   Group* group = GroupOf(*request);
   if (group == nullptr) {
-    Finish(now, request, std::move(reply));
+    FinishRequest(now, request, std::move(reply));
     return;
   }
-  request->led_at = led_at;
-  request->led_term = group->proof.term();
-  request->kept_since = now;
-  request->unproved = std::move(reply);
-  group->unproved.push_back(request->id);
-  group->proof_wanted = std::max(group->proof_wanted, led_at);
+  request->leadership_time = leadership_time;
+  request->leadership_term = group->proof.term();
+  request->proof_pending_since = now;
+  request->unproved_reply = std::move(reply);
+  group->unproved_reads.push_back(request->id);
+  group->proof_required_at =
+      std::max(group->proof_required_at, leadership_time);
   SetTimer(request, request->timeout_at);
   const RequestId id = request->id;
   SettleProofs(now, group);
   request = FindRequest(id);
-  if (request != nullptr && request->unproved.has_value()) {
-    AskAgain(now, request);
+  if (request != nullptr && request->unproved_reply.has_value()) {
+    PollReplicasAgain(now, request);
   }
 }
 
-/// Another database has told which term it knows, or the primary has claimed
-/// to lead: hands out what is proved by now.
+/// Completes what is proved after another database reported its term or the
+/// primary claimed leadership.
 void Proxy::Impl::SettleProofs(TimePoint now, Group* group) {
-  const TimePoint until = ProvedUntil(*group);
-  for (const Watermarks::Mark& mark : group->proof.TakeClaims(until)) {
+  const TimePoint proved_until = ProvedUntil(*group);
+  for (const Watermarks::Mark& mark : group->proof.TakeClaims(proved_until)) {
     group->watermarks.NewTerm(group->proof.term());
     group->watermarks.Record(mark.at, mark.position);
   }
-  const std::vector<RequestId> waiting = group->unproved;
+  const std::vector<RequestId> waiting = group->unproved_reads;
   for (const RequestId id : waiting) {
     Request* request = FindRequest(id);
-    if (request == nullptr || !request->unproved.has_value()) {
-      std::erase(group->unproved, id);
+    if (request == nullptr || !request->unproved_reply.has_value()) {
+      std::erase(group->unproved_reads, id);
       continue;
     }
-    if (group->term > request->led_term) {
-      ProofFailed(now, request, "primary_replaced");
-    } else if (request->led_at <= until &&
+    if (group->term > request->leadership_term) {
+      OnProofFailed(now, request, "primary_replaced");
+    } else if (request->leadership_time <= proved_until &&
                group->proof.leader() == request->database) {
       Caller* caller = FindCaller(request->caller);
-      if (request->need == Need::kTransaction && caller != nullptr) {
+      if (request->requirement == Requirement::kTransaction &&
+          caller != nullptr) {
         caller->transaction.unproved_since = TimePoint();
       }
-      Finish(now, request, std::move(*request->unproved));
+      FinishRequest(now, request, std::move(*request->unproved_reply));
     }
   }
 }
 
-/// The answer may miss acknowledged commits and is thrown away. A single read
-/// is sent once more, a transaction cannot go on.
-void Proxy::Impl::ProofFailed(TimePoint now, Request* request,
-                              const std::string& why) {
+/// Discards a reply that may miss acknowledged commits. A single read is
+/// retried; a transaction fails.
+void Proxy::Impl::OnProofFailed(TimePoint now, Request* request,
+                                const std::string& why) {
   Group* group = GroupOf(*request);
-  if (group != nullptr) std::erase(group->unproved, request->id);
-  request->unproved.reset();
-  if (request->need == Need::kTransaction) {
+  if (group != nullptr) std::erase(group->unproved_reads, request->id);
+  request->unproved_reply.reset();
+  if (request->requirement == Requirement::kTransaction) {
     Caller* caller = FindCaller(request->caller);
     if (caller != nullptr) FailTransaction(now, caller);
-    Refuse(now, request, ErrorCode::kAborted, kDoubtRetry, why);
+    RefuseRequest(now, request, ErrorCode::kAborted, kProofRetryAfter, why);
     return;
   }
   if (now >= request->timeout_at) {
-    Refuse(now, request, ErrorCode::kBusy, kDoubtRetry, why);
+    RefuseRequest(now, request, ErrorCode::kBusy, kProofRetryAfter, why);
     return;
   }
-  Retry(now, request);
+  RetryRequest(now, request);
 }
 
-/// Whether a read sent to the primary now would only wait for a proof that
-/// does not come.
-bool Proxy::Impl::LeadInDoubt(TimePoint now, const Group& group) {
-  if (group.unproved.empty()) return false;
-  const Request* oldest = FindRequest(group.unproved.front());
-  return oldest != nullptr && now - oldest->kept_since >= kDoubtAfter;
+/// Whether a new read on the primary would wait for a proof that is already
+/// overdue.
+bool Proxy::Impl::IsLeadershipInDoubt(TimePoint now, const Group& group) {
+  if (group.unproved_reads.empty()) return false;
+  const Request* oldest = FindRequest(group.unproved_reads.front());
+  return oldest != nullptr &&
+         now - oldest->proof_pending_since >= kProofOverdueAfter;
 }
 
-/// Whether the request reads what only a primary that leads may answer.
-bool Proxy::Impl::NeedsLead(const Request& request, const Group& group) const {
-  if (request.need == Need::kProvedRead) return true;
+/// Whether only a proved primary may serve the request.
+bool Proxy::Impl::NeedsLeadership(const Request& request,
+                                  const Group& group) const {
+  if (request.requirement == Requirement::kProvedRead) return true;
   if (request.statement.kind == StatementKind::kBegin) return true;
-  return request.need == Need::kCoveredRead &&
-         !NeededMark(request, group).has_value();
+  return request.requirement == Requirement::kReadAtPosition &&
+         !RequiredMark(request, group).has_value();
 }
 
 }  // namespace ryefold::core::session
