--- a/src/include/ryefold/core/group/calls.h
+++ b/src/include/ryefold/core/group/calls.h
@@ -14,8 +14,8 @@
 
 /// Why a control call was made.
 enum class CallPurpose : uint8_t {
-  kStatus,   ///< The status call that waits inside a database.
-  kConfirm,  ///< An immediate one, part of a round that vouches for the term.
+  kStatus,  ///< The status call that waits inside a database.
+  kProbe,   ///< An immediate one, part of a round that vouches for the term.
   kAdopt,
   kPromote,
   kFollow,
--- a/src/include/ryefold/core/group/following.h
+++ b/src/include/ryefold/core/group/following.h
@@ -14,24 +14,24 @@
 /// replica is behind and does not move. A proposer that dies after promoting
 /// tells nobody whom to follow; a database that was down comes back under an
 /// old term. Either would otherwise never confirm anything again.
-class Following {
+class FollowScheduler {
  public:
   /// Whether `replica` has to be told now to follow the primary; counts as
   /// told when true.
-  bool TakeDue(TimePoint now, const DatabaseStatus& primary,
-               const DatabaseStatus& replica);
+  bool MarkSentIfDue(TimePoint now, const DatabaseStatus& primary,
+                     const DatabaseStatus& replica);
   /// The call failed.
-  void Failed(const std::string& replica) { told_.erase(replica); }
+  void OnCallFailed(const std::string& replica) { sent_calls_.erase(replica); }
   /// When a replica that stands still may be told again.
   TimePoint next_deadline(TimePoint now) const;
 
  private:
-  struct Told {
+  struct SentCall {
     uint64_t term = 0;
     LogPosition last;
-    TimePoint again_at;
+    TimePoint retry_at;
   };
-  std::map<std::string, Told> told_;
+  std::map<std::string, SentCall> sent_calls_;
 };
 
 }  // namespace ryefold::core::group
--- a/src/include/ryefold/core/group/pool.h
+++ b/src/include/ryefold/core/group/pool.h
@@ -33,7 +33,7 @@
 /// less the reserve. A connection goes back only after its call was answered;
 /// closing is the way out of everything else, since an answer that is still
 /// under way would reach the next statement's caller.
-class Pool {
+class ConnectionPool {
  public:
   /// New limits or databases; connections to databases that are gone are
   /// appended to `actions` as closed and returned.
@@ -44,9 +44,9 @@
   void Refill(TimePoint now, const std::string& database,
               std::vector<Action>* actions);
 
-  void Opened(ConnectionId id);
+  void OnOpened(ConnectionId id);
   /// Removes the connection and tells what it was; nothing if unknown.
-  std::optional<PooledConnection> Lost(TimePoint now, ConnectionId id);
+  std::optional<PooledConnection> OnLost(TimePoint now, ConnectionId id);
   /// Closes the connection and tells what it was.
   std::optional<PooledConnection> Close(ConnectionId id,
                                         std::vector<Action>* actions);
@@ -54,22 +54,23 @@
   std::vector<ConnectionId> ConnectionsTo(const std::string& database) const;
 
   /// An idle connection to `database` that may run a statement now.
-  std::optional<ConnectionId> IdleOn(const std::string& database) const;
+  std::optional<ConnectionId> FindIdle(const std::string& database) const;
   /// Whether one more transaction may own a connection to `database`.
-  bool MayOwn(const std::string& database) const;
-  bool HasSlot(const std::string& database) const;
+  bool CanBeginTransaction(const std::string& database) const;
+  bool HasFreeSlot(const std::string& database) const;
 
   /// A call for `tag` goes out on the connection.
-  void Run(ConnectionId id, RequestTag tag, const std::string& workspace);
+  void MarkRunning(ConnectionId id, RequestTag tag,
+                   const std::string& workspace);
   /// The call was answered; the connection is free or its owner's again.
-  void Finish(ConnectionId id);
+  void MarkAnswered(ConnectionId id);
   /// The connection begins or ends to belong to a transaction.
   void SetOwned(ConnectionId id, bool owned);
 
   const PooledConnection* Find(ConnectionId id) const;
-  uint32_t open(const std::string& database) const;
-  uint32_t running(const std::string& database) const;
-  uint32_t usable() const;
+  uint32_t open_count(const std::string& database) const;
+  uint32_t running_count(const std::string& database) const;
+  uint32_t usable_limit() const;
   bool empty() const { return connections_.empty(); }
   /// When a database that refused a connection may be asked again.
   TimePoint next_deadline(TimePoint now) const;
@@ -79,7 +80,7 @@
     uint32_t open = 0;
     uint32_t running = 0;
     uint32_t owned = 0;
-    TimePoint open_again;
+    TimePoint reopen_at;
   };
   void Remove(std::map<ConnectionId, PooledConnection>::iterator it);
 
--- a/src/include/ryefold/core/group/promotion.h
+++ b/src/include/ryefold/core/group/promotion.h
@@ -20,7 +20,7 @@
   /// Its answer is worth waiting for.
   bool expected = true;
   /// It must not become the primary: lost, cut off or leaving.
-  bool barred = false;
+  bool ineligible = false;
 };
 
 /// A call the proposer wants made.
@@ -47,11 +47,11 @@
   /// Gives up, for instance since another proposer's primary was seen.
   void Stop();
 
-  void AdoptAnswered(TimePoint now, uint64_t term, const std::string& database,
+  void OnAdoptAnswer(TimePoint now, uint64_t term, const std::string& database,
                      const AdoptAnswer& answer);
-  void PromoteAnswered(TimePoint now, uint64_t term, const RoleAnswer& answer);
+  void OnPromoteAnswer(TimePoint now, uint64_t term, const RoleAnswer& answer);
   /// The call got no answer.
-  void CallFailed(TimePoint now, uint64_t term, const std::string& database);
+  void OnCallFailed(TimePoint now, uint64_t term, const std::string& database);
   void Tick(TimePoint now);
 
   /// Calls to make now.
@@ -60,10 +60,10 @@
   std::optional<DatabaseStatus> TakePromoted();
 
   /// A proposal is under way.
-  bool active() const { return phase_ != Phase::kIdle; }
+  bool IsActive() const { return phase_ != Phase::kIdle; }
   /// Whether a new proposal may begin: no other is under way, and the pause
   /// after a failed one is over.
-  bool ready(TimePoint now) const;
+  bool IsReady(TimePoint now) const;
   uint64_t term() const { return term_; }
   const std::string& proposer() const { return proposer_; }
   /// Failed proposals since the last success.
@@ -77,9 +77,9 @@
     bool answered = false;
     std::optional<DatabaseStatus> adopted;
   };
-  std::optional<std::string> Candidate() const;
-  size_t Holding(const LogPosition& last) const;
-  bool AllExpectedAnswered() const;
+  std::optional<std::string> ChooseCandidate() const;
+  size_t CountAtOrBehind(const LogPosition& last) const;
+  bool HaveAllExpectedAnswered() const;
   void Decide(TimePoint now);
   void Promote(TimePoint now);
   void Fail(TimePoint now);
@@ -92,8 +92,8 @@
   uint64_t highest_seen_ = 0;
   std::map<std::string, Peer> peers_;
   std::string candidate_;
-  TimePoint phase_until_;
-  TimePoint not_before_;
+  TimePoint phase_deadline_;
+  TimePoint next_attempt_at_;
   int failures_ = 0;
   std::vector<ProposalCall> calls_;
   std::optional<DatabaseStatus> promoted_;
--- a/src/include/ryefold/core/group/reads.h
+++ b/src/include/ryefold/core/group/reads.h
@@ -18,18 +18,18 @@
 namespace ryefold::core::group {
 
 /// What a read needs to know of the group's present state.
-struct ReadView {
+struct ReadContext {
   const GroupSpec& group;
-  const Health& health;
-  const Confirmation& confirmation;
-  const Pool& pool;
+  const HealthMonitor& health;
+  const ConfirmationTracker& confirmation;
+  const ConnectionPool& pool;
   /// Empty when there is none.
   const std::string& primary;
   uint64_t term = 0;
   /// When a majority last vouched for the term, and when the call was sent
   /// that the primary answered last.
-  TimePoint vouched;
-  TimePoint heard;
+  TimePoint term_confirmed_at;
+  TimePoint primary_contact_at;
 };
 
 /// One read that waits to be routed.
@@ -39,55 +39,58 @@
   LogPosition seen;
   /// Where a primary vouched for after the read arrived stood. A database that
   /// covers it serves with age 0.
-  std::optional<LogPosition> floor;
+  std::optional<LogPosition> fresh_position;
 };
 
-class Reads {
+class ReadPlanner {
  public:
-  explicit Reads(std::string near) : near_(std::move(near)) {}
+  explicit ReadPlanner(std::string preferred_domain)
+      : preferred_domain_(std::move(preferred_domain)) {}
 
   /// The primary of the term in force answered a call, sent at `sent`, with
   /// `last`.
-  void PrimaryAt(TimePoint now, TimePoint sent, const LogPosition& last);
+  void RecordPrimaryPosition(TimePoint now, TimePoint sent,
+                             const LogPosition& last);
   /// A replica was seen at `last`.
-  void ReplicaAt(TimePoint now, const std::string& database,
-                 const LogPosition& last);
+  void RecordReplicaPosition(TimePoint now, const std::string& database,
+                             const LogPosition& last);
 
   /// Whether the read has to wait for a round that vouches for the primary:
   /// it could have been replaced without knowing it, and then what is known of
   /// its log is older than what the read accepts.
-  bool NeedsRound(const ReadView& view, ReadState* read) const;
+  bool NeedsHeartbeatRound(const ReadContext& context, ReadState* read) const;
 
   /// Routes the read by what is known now.
-  routing::Route Choose(TimePoint now, const ReadView& view,
-                        const ReadState& read, TimePoint deadline) const;
+  routing::Route ChooseRoute(TimePoint now, const ReadContext& context,
+                             const ReadState& read, TimePoint deadline) const;
 
   /// Whether a round has to be sent, given when the newest read that needs one
   /// arrived. Counts as sent when true: one round serves all that wait.
-  bool StartRound(TimePoint now, const ReadView& view, TimePoint wanted);
+  bool StartRoundIfDue(TimePoint now, const ReadContext& context,
+                       TimePoint newest_read);
   /// When the round under way is given up; the far future without one.
   TimePoint next_deadline(TimePoint now) const;
 
   /// Time since the replica was last known level with the primary, a day at
   /// most.
-  std::chrono::milliseconds lag(TimePoint now, const ReadView& view,
+  std::chrono::milliseconds lag(TimePoint now, const ReadContext& context,
                                 const std::string& database) const;
 
  private:
-  struct Mark {
+  struct PrimarySample {
     LogPosition position;
     TimePoint first_seen;
   };
-  std::optional<TimePoint> CatchesUpAt(const std::string& database,
-                                       const LogPosition& wanted) const;
+  std::optional<TimePoint> EstimateCatchUp(const std::string& database,
+                                           const LogPosition& wanted) const;
 
-  std::string near_;
+  std::string preferred_domain_;
   routing::AgeTracker ages_;
-  std::deque<Mark> marks_;
+  std::deque<PrimarySample> samples_;
   /// Replication delay of each database, smoothed.
-  std::map<std::string, std::chrono::microseconds> delays_;
-  TimePoint round_begun_;
-  TimePoint round_until_;
+  std::map<std::string, std::chrono::microseconds> replication_delays_;
+  TimePoint round_started_;
+  TimePoint round_deadline_;
 };
 
 }  // namespace ryefold::core::group
--- a/src/include/ryefold/core/group/request.h
+++ b/src/include/ryefold/core/group/request.h
@@ -25,7 +25,7 @@
   /// Only asks what became of an earlier request.
   bool settle_only = false;
   /// An earlier sending may have run: "not run" needs a fence.
-  bool doubtful = false;
+  bool may_have_run = false;
   /// A promotion discarded the entry that it wrote.
   bool discarded = false;
   /// Its ticket may be in the queue.
@@ -53,7 +53,7 @@
            request.kind == StatementKind::kWrite;
   }
   /// Leaves something in the log that has to be confirmed.
-  bool changes() const {
+  bool needs_confirmation() const {
     if (request.step == Step::kCommit) return true;
     return request.step == Step::kStatement && !in_transaction() &&
            request.kind == StatementKind::kWrite;
--- a/src/include/ryefold/core/group/transactions.h
+++ b/src/include/ryefold/core/group/transactions.h
@@ -22,14 +22,14 @@
   /// A statement of it is unanswered.
   bool running = false;
   /// Its caller has been silent for too long when this comes.
-  TimePoint idle_until;
+  TimePoint idle_deadline;
 };
 
 /// Transactions by id. One owns its connection from begin until the database
 /// has confirmed its end, so that statements of two never share one.
-class Transactions {
+class TransactionTable {
  public:
-  Transactions(std::string instance, uint64_t seed)
+  TransactionTable(std::string instance, uint64_t seed)
       : instance_(std::move(instance)), random_(seed) {}
 
   /// Registers a transaction on `connection`. Its id names this instance, so
@@ -41,16 +41,16 @@
   /// The transaction with this id, if it belongs to `workspace`.
   Transaction* Find(const std::string& id, const std::string& workspace);
   /// Id of the transaction that owns the connection, empty if none.
-  std::string OwnerOf(ConnectionId connection) const;
+  std::string FindOwner(ConnectionId connection) const;
   void Erase(const std::string& id) { open_.erase(id); }
 
   /// A statement of it starts or was answered.
   void SetRunning(TimePoint now, Transaction* transaction, bool running) const;
 
   /// Transactions not running anything whose caller has gone silent.
-  std::vector<Transaction> Idle(TimePoint now) const;
+  std::vector<Transaction> FindAbandoned(TimePoint now) const;
   /// All on `database`, or all when it is empty.
-  std::vector<Transaction> On(const std::string& database) const;
+  std::vector<Transaction> FindOn(const std::string& database) const;
 
   bool empty() const { return open_.empty(); }
   TimePoint next_deadline() const;
--- a/src/libcore/group/following.cc
+++ b/src/libcore/group/following.cc
@@ -5,39 +5,41 @@
 namespace ryefold::core::group {
 namespace {
 
-constexpr std::chrono::milliseconds kTellAgainAfter{500};
+constexpr std::chrono::milliseconds kFollowRetryInterval{500};
 
 }  // namespace
 
-bool Following::TakeDue(TimePoint now, const DatabaseStatus& primary,
-                        const DatabaseStatus& replica) {
+bool FollowScheduler::MarkSentIfDue(TimePoint now,
+                                    const DatabaseStatus& primary,
+                                    const DatabaseStatus& replica) {
   if (replica.adopted_term > primary.adopted_term) return false;
   // It adopted this term from a proposer that lost the majority; it would
   // refuse. Only a newer term brings it back.
-  const bool other_proposer = replica.adopted_term == primary.adopted_term &&
-                              replica.proposer != primary.proposer;
-  if (other_proposer) return false;
-  Told& told = told_[replica.database];
-  const bool level = replica.last >= primary.last;
-  const bool moved = replica.last != told.last;
-  if (told.term == primary.adopted_term) {
-    if (level || moved) {
-      told.last = replica.last;
-      told.again_at = now + kTellAgainAfter;
+  const bool adopted_from_other =
+      replica.adopted_term == primary.adopted_term &&
+      replica.proposer != primary.proposer;
+  if (adopted_from_other) return false;
+  SentCall& sent = sent_calls_[replica.database];
+  const bool caught_up = replica.last >= primary.last;
+  const bool moved = replica.last != sent.last;
+  if (sent.term == primary.adopted_term) {
+    if (caught_up || moved) {
+      sent.last = replica.last;
+      sent.retry_at = now + kFollowRetryInterval;
       return false;
     }
-    if (now < told.again_at) return false;
+    if (now < sent.retry_at) return false;
   }
-  told.term = primary.adopted_term;
-  told.last = replica.last;
-  told.again_at = now + kTellAgainAfter;
+  sent.term = primary.adopted_term;
+  sent.last = replica.last;
+  sent.retry_at = now + kFollowRetryInterval;
   return true;
 }
 
-TimePoint Following::next_deadline(TimePoint now) const {
+TimePoint FollowScheduler::next_deadline(TimePoint now) const {
   TimePoint next = TimePoint::max();
-  for (const auto& [replica, told] : told_) {
-    if (told.again_at > now) next = std::min(next, told.again_at);
+  for (const auto& [replica, sent] : sent_calls_) {
+    if (sent.retry_at > now) next = std::min(next, sent.retry_at);
   }
   return next;
 }
--- a/src/libcore/group/health.cc
+++ b/src/libcore/group/health.cc
@@ -9,40 +9,41 @@
 /// Reset, refused reconnect and one refused re-check make a database lost. A
 /// process that died says so by resets at once, where waiting for the silence
 /// of a frozen one would cost its callers more than a second.
-constexpr int kRefusalsToLose = 3;
-constexpr std::chrono::milliseconds kRecheckAfter{50};
+constexpr int kRefusalsUntilLost = 3;
+constexpr std::chrono::milliseconds kRefusedRetryDelay{50};
 /// Pause before polling a lost database again.
-constexpr std::chrono::milliseconds kLostPollEvery{200};
+constexpr std::chrono::milliseconds kLostPollInterval{200};
 
 }  // namespace
 
-void Health::SetDatabases(TimePoint now,
-                          const std::vector<std::string>& names) {
-  std::map<std::string, Watch> kept;
+void HealthMonitor::SetDatabases(TimePoint now,
+                                 const std::vector<std::string>& names) {
+  std::map<std::string, MonitoredDatabase> retained;
   for (const std::string& name : names) {
-    const auto it = watches_.find(name);
-    if (it != watches_.end()) {
-      kept.insert(*it);
+    const auto it = databases_.find(name);
+    if (it != databases_.end()) {
+      retained.insert(*it);
       continue;
     }
-    Watch watch;
-    watch.poll_at = now;
-    watch.silent_until = now + timing_.lost_after;
-    kept.emplace(name, watch);
+    MonitoredDatabase monitored;
+    monitored.next_poll = now;
+    monitored.lost_at = now + timing_.lost_after;
+    retained.emplace(name, monitored);
   }
-  watches_ = std::move(kept);
+  databases_ = std::move(retained);
 }
 
-std::vector<StatusDue> Health::TakeDue(TimePoint now) {
-  std::vector<StatusDue> due;
-  for (auto& [name, watch] : watches_) {
-    if (watch.in_flight || watch.poll_at > now) continue;
-    watch.in_flight = true;
+std::vector<DueStatusCall> HealthMonitor::TakeDueCalls(TimePoint now) {
+  std::vector<DueStatusCall> due;
+  for (auto& [name, monitored] : databases_) {
+    if (monitored.in_flight || monitored.next_poll > now) continue;
+    monitored.in_flight = true;
     StatusCall call;
-    const bool wait = watch.known && !watch.doubted && watch.refusals == 0;
-    if (wait) {
-      call.known_term = watch.status.adopted_term;
-      call.known_last = watch.status.last;
+    const bool hold_call = monitored.has_status && !monitored.suspected &&
+                           monitored.consecutive_refusals == 0;
+    if (hold_call) {
+      call.known_term = monitored.status.adopted_term;
+      call.known_last = monitored.status.last;
       call.wait = timing_.status_wait;
     }
     due.push_back({name, call, now + call.wait + timing_.status_grace});
@@ -50,94 +51,101 @@
   return due;
 }
 
-void Health::Answered(TimePoint now, const std::string& database,
-                      const DatabaseStatus& status, bool waited) {
-  const auto it = watches_.find(database);
-  if (it == watches_.end()) return;
-  Watch& watch = it->second;
+void HealthMonitor::RecordStatus(TimePoint now, const std::string& database,
+                                 const DatabaseStatus& status, bool long_poll) {
+  const auto it = databases_.find(database);
+  if (it == databases_.end()) return;
+  MonitoredDatabase& monitored = it->second;
   // Answers to two calls can cross: an older one must not take back a term.
-  if (!watch.known || status.adopted_term >= watch.status.adopted_term) {
-    watch.status = status;
+  if (!monitored.has_status ||
+      status.adopted_term >= monitored.status.adopted_term) {
+    monitored.status = status;
   }
-  watch.known = true;
-  watch.doubted = false;
-  watch.refusals = 0;
-  watch.silent_until = now + timing_.lost_after;
-  if (!waited) return;
-  watch.in_flight = false;
-  watch.poll_at = now;
+  monitored.has_status = true;
+  monitored.suspected = false;
+  monitored.consecutive_refusals = 0;
+  monitored.lost_at = now + timing_.lost_after;
+  if (!long_poll) return;
+  monitored.in_flight = false;
+  monitored.next_poll = now;
 }
 
-void Health::Failed(TimePoint now, const std::string& database, bool refused) {
-  const auto it = watches_.find(database);
-  if (it == watches_.end()) return;
-  Watch& watch = it->second;
-  watch.in_flight = false;
-  watch.poll_at = now;
+void HealthMonitor::RecordFailure(TimePoint now, const std::string& database,
+                                  bool refused) {
+  const auto it = databases_.find(database);
+  if (it == databases_.end()) return;
+  MonitoredDatabase& monitored = it->second;
+  monitored.in_flight = false;
+  monitored.next_poll = now;
   if (!refused) return;
-  ++watch.refusals;
-  if (watch.refusals >= kRefusalsToLose) {
-    watch.poll_at = now + kLostPollEvery;
-  } else if (watch.refusals > 1) {
-    watch.poll_at = now + kRecheckAfter;
+  ++monitored.consecutive_refusals;
+  if (monitored.consecutive_refusals >= kRefusalsUntilLost) {
+    monitored.next_poll = now + kLostPollInterval;
+  } else if (monitored.consecutive_refusals > 1) {
+    monitored.next_poll = now + kRefusedRetryDelay;
   }
 }
 
-void Health::Doubt(TimePoint now, const std::string& database) {
-  const auto it = watches_.find(database);
-  if (it == watches_.end() || it->second.doubted) return;
-  it->second.doubted = true;
+void HealthMonitor::MarkSuspected(TimePoint now, const std::string& database) {
+  const auto it = databases_.find(database);
+  if (it == databases_.end() || it->second.suspected) return;
+  it->second.suspected = true;
   if (it->second.in_flight) {
     probes_.push_back(database);
   } else {
-    it->second.poll_at = now;
+    it->second.next_poll = now;
   }
 }
 
-std::vector<std::string> Health::TakeProbes() {
+std::vector<std::string> HealthMonitor::TakeProbes() {
   return std::exchange(probes_, {});
 }
 
-bool Health::lost(TimePoint now, const std::string& database) const {
-  const Watch* watch = Find(database);
-  if (watch == nullptr) return true;
-  return watch->refusals >= kRefusalsToLose || watch->silent_until <= now;
+bool HealthMonitor::IsLost(TimePoint now, const std::string& database) const {
+  const MonitoredDatabase* monitored = Find(database);
+  if (monitored == nullptr) return true;
+  return monitored->consecutive_refusals >= kRefusalsUntilLost ||
+         monitored->lost_at <= now;
 }
 
-bool Health::reachable(TimePoint now, const std::string& database) const {
-  const Watch* watch = Find(database);
-  return watch != nullptr && watch->known && !lost(now, database);
+bool HealthMonitor::IsReachable(TimePoint now,
+                                const std::string& database) const {
+  const MonitoredDatabase* monitored = Find(database);
+  return monitored != nullptr && monitored->has_status &&
+         !IsLost(now, database);
 }
 
-bool Health::doubted(const std::string& database) const {
-  const Watch* watch = Find(database);
-  return watch == nullptr || watch->doubted;
+bool HealthMonitor::IsSuspected(const std::string& database) const {
+  const MonitoredDatabase* monitored = Find(database);
+  return monitored == nullptr || monitored->suspected;
 }
 
-const DatabaseStatus* Health::status(const std::string& database) const {
-  const Watch* watch = Find(database);
-  return watch != nullptr && watch->known ? &watch->status : nullptr;
+const DatabaseStatus* HealthMonitor::status(const std::string& database) const {
+  const MonitoredDatabase* monitored = Find(database);
+  return monitored != nullptr && monitored->has_status ? &monitored->status
+                                                       : nullptr;
 }
 
-bool Health::settled(TimePoint now) const {
-  return std::all_of(watches_.begin(), watches_.end(),
-                     [this, now](const auto& entry) {
-                       return entry.second.known || lost(now, entry.first);
-                     });
+bool HealthMonitor::HasAssessedAll(TimePoint now) const {
+  return std::all_of(
+      databases_.begin(), databases_.end(), [this, now](const auto& entry) {
+        return entry.second.has_status || IsLost(now, entry.first);
+      });
 }
 
-TimePoint Health::next_deadline(TimePoint now) const {
+TimePoint HealthMonitor::next_deadline(TimePoint now) const {
   TimePoint next = TimePoint::max();
-  for (const auto& [name, watch] : watches_) {
-    if (!watch.in_flight) next = std::min(next, watch.poll_at);
-    if (watch.silent_until > now) next = std::min(next, watch.silent_until);
+  for (const auto& [name, monitored] : databases_) {
+    if (!monitored.in_flight) next = std::min(next, monitored.next_poll);
+    if (monitored.lost_at > now) next = std::min(next, monitored.lost_at);
   }
   return next;
 }
 
-const Health::Watch* Health::Find(const std::string& database) const {
-  const auto it = watches_.find(database);
-  return it == watches_.end() ? nullptr : &it->second;
+const HealthMonitor::MonitoredDatabase* HealthMonitor::Find(
+    const std::string& database) const {
+  const auto it = databases_.find(database);
+  return it == databases_.end() ? nullptr : &it->second;
 }
 
 }  // namespace ryefold::core::group
--- a/src/libcore/group/keeper.cc
+++ b/src/libcore/group/keeper.cc
@@ -17,14 +17,14 @@
 /// The proposer's name with the seed of this keeper in it. An instance that
 /// was restarted under its name would otherwise pass for the one before it,
 /// and a term that the earlier one had adopted could get a second primary.
-std::string UniqueName(const std::string& proposer, uint64_t seed) {
+std::string MakeUniqueProposer(const std::string& proposer, uint64_t seed) {
   std::array<char, 17> text{};
   std::snprintf(text.data(), text.size(), "%016llx",
                 static_cast<unsigned long long>(seed));
   return proposer + "#" + text.data();
 }
 
-std::vector<std::string> Names(const GroupSpec& group) {
+std::vector<std::string> DatabaseNames(const GroupSpec& group) {
   std::vector<std::string> names;
   for (const DatabaseSpec& spec : group.databases) {
     names.push_back(spec.database);
@@ -40,11 +40,11 @@
     : timing_(timing),
       health_(timing),
       leadership_(timing, seed),
-      promotion_(UniqueName(proposer, seed), timing, seed),
+      promotion_(MakeUniqueProposer(proposer, seed), timing, seed),
       reads_(std::move(near)),
       transactions_(std::move(proposer), seed),
       queue_({}, group.queue_limit, seed),
-      retries_(kRetryRatio, kRetryBurst) {
+      retry_budget_(kRetryRatio, kRetryBurst) {
   group_ = std::move(group);
   workspaces_ = std::move(workspaces);
 }
@@ -55,7 +55,7 @@
   now_ = now;
   actions_ = actions;
   if (first) {
-    patience_until_ = now + 2 * timing_.lost_after;
+    primary_deadline_ = now + 2 * timing_.lost_after;
     SetPolicy(group_, workspaces_);
   }
   std::visit([this](const auto& received) { On(received); }, event);
@@ -86,31 +86,31 @@
   pending.request.kind = StatementKind::kWrite;
   pending.request.deadline = event.request.deadline;
   deadlines_.emplace(pending.request.deadline, event.tag);
-  PutInDoubt(&pending);
+  MarkInDoubt(&pending);
 }
 
 void Keeper::Impl::On(const RequestAbandoned& event) {
-  PendingRequest* pending = Find(event.tag);
+  PendingRequest* pending = FindRequest(event.tag);
   if (pending == nullptr) return;
   const ConnectionId connection = pending->connection;
   const bool running = pending->state == RequestState::kRunning;
-  Forget(pending);
+  RemoveRequest(pending);
   if (!running) return;
   // Its answer would come to whoever got the connection next.
   const auto closed = pool_.Close(connection, actions_);
-  if (closed.has_value()) ConnectionGone(*closed, connection);
+  if (closed.has_value()) OnConnectionClosed(*closed, connection);
 }
 
 void Keeper::Impl::On(const ConnectionOpened& event) {
-  pool_.Opened(event.connection);
+  pool_.OnOpened(event.connection);
 }
 
 void Keeper::Impl::On(const ConnectionLost& event) {
-  const auto lost = pool_.Lost(now_, event.connection);
+  const auto lost = pool_.OnLost(now_, event.connection);
   if (!lost.has_value()) return;
   const bool was_open = lost->state != ConnectionState::kOpening;
-  if (was_open) health_.Doubt(now_, lost->database);
-  ConnectionGone(*lost, event.connection);
+  if (was_open) health_.MarkSuspected(now_, lost->database);
+  OnConnectionClosed(*lost, event.connection);
 }
 
 void Keeper::Impl::On(const ExecuteReturned& event) {
@@ -119,37 +119,37 @@
   if (connection->state != ConnectionState::kRunning) return;
   const RequestTag tag = connection->tag;
   const std::string database = connection->database;
-  pool_.Finish(event.connection);
+  pool_.MarkAnswered(event.connection);
   queue_.Finished(now_);
-  PendingRequest* pending = Find(tag);
+  PendingRequest* pending = FindRequest(tag);
   if (pending == nullptr) return;
-  Answered(pending, event.connection, event.answer);
+  OnAnswer(pending, event.connection, event.answer);
 }
 
 void Keeper::Impl::On(const ControlReturned& event) {
   const auto call = calls_.Take(event.call);
   if (!call.has_value()) return;
-  const bool polls = call->purpose == CallPurpose::kStatus ||
-                     call->purpose == CallPurpose::kConfirm;
+  const bool is_status_call = call->purpose == CallPurpose::kStatus ||
+                              call->purpose == CallPurpose::kProbe;
   const auto* status = std::get_if<DatabaseStatus>(&event.answer);
   const auto* adopt = std::get_if<AdoptAnswer>(&event.answer);
   const auto* role = std::get_if<RoleAnswer>(&event.answer);
   const auto* settle = std::get_if<SettleAnswer>(&event.answer);
-  if (polls && status != nullptr) {
-    StatusArrived(*call, *status);
+  if (is_status_call && status != nullptr) {
+    OnStatus(*call, *status);
   } else if (call->purpose == CallPurpose::kAdopt && adopt != nullptr) {
-    promotion_.AdoptAnswered(now_, call->term, call->database, *adopt);
-    Learn(call->database, adopt->status, call->sent, /*waited=*/false);
+    promotion_.OnAdoptAnswer(now_, call->term, call->database, *adopt);
+    ApplyStatus(call->database, adopt->status, call->sent, /*long_poll=*/false);
   } else if (call->purpose == CallPurpose::kPromote && role != nullptr) {
-    promotion_.PromoteAnswered(now_, call->term, *role);
-    Learn(call->database, role->status, call->sent, /*waited=*/false);
+    promotion_.OnPromoteAnswer(now_, call->term, *role);
+    ApplyStatus(call->database, role->status, call->sent, /*long_poll=*/false);
   } else if (call->purpose == CallPurpose::kFollow && role != nullptr) {
-    Learn(call->database, role->status, call->sent, /*waited=*/false);
+    ApplyStatus(call->database, role->status, call->sent, /*long_poll=*/false);
   } else if (call->purpose == CallPurpose::kSettle && settle != nullptr) {
-    SettleAnswered(*call, *settle);
+    OnSettleAnswer(*call, *settle);
   } else {
     // No answer, or one that does not fit the question.
-    CallFailed(*call, now_ < call->deadline);
+    OnControlCallFailed(*call, now_ < call->deadline);
   }
 }
 
@@ -160,32 +160,32 @@
 void Keeper::Impl::On(const StepDown& /*event*/) {
   if (stepping_down_) return;
   stepping_down_ = true;
-  step_down_until_ = now_ + kFinishBound;
+  step_down_deadline_ = now_ + kFinishTimeout;
   // What was never sent is better off at the next keeper.
   const auto dropped =
       queue_.Drop(now_, Reason::kShuttingDown,
                   [](const auto& ticket) { return !ticket.in_transaction; });
   for (const admission::Refusal& refusal : dropped) {
-    PendingRequest* pending = Find(refusal.tag);
+    PendingRequest* pending = FindRequest(refusal.tag);
     if (pending == nullptr) continue;
-    if (pending->doubtful) {
-      PutInDoubt(pending);
+    if (pending->may_have_run) {
+      MarkInDoubt(pending);
       continue;
     }
-    NotRun(pending, NotRunProof::NeverSent(), Reason::kShuttingDown,
-           kRetryAfterStepDown);
+    FinishNotRun(pending, NotRunProof::NeverSent(), Reason::kShuttingDown,
+                 kRetryAfterStepDown);
   }
 }
 
 void Keeper::Impl::On(const StepUp& /*event*/) {
   if (!stepping_down_) return;
   stepping_down_ = false;
-  if (!idle_) return;
+  if (!stepped_down_) return;
   // Everything was given back; begin as a new keeper would.
-  idle_ = false;
-  patience_until_ = now_ + 2 * timing_.lost_after;
-  health_ = Health(timing_);
-  health_.SetDatabases(now_, Names(group_));
+  stepped_down_ = false;
+  primary_deadline_ = now_ + 2 * timing_.lost_after;
+  health_ = HealthMonitor(timing_);
+  health_.SetDatabases(now_, DatabaseNames(group_));
 }
 
 void Keeper::Impl::On(const Tick& /*event*/) {}
@@ -194,16 +194,16 @@
                              std::vector<WorkspacePolicy> workspaces) {
   group_ = std::move(group);
   workspaces_ = std::move(workspaces);
-  const std::vector<std::string> names = Names(group_);
+  const std::vector<std::string> names = DatabaseNames(group_);
   health_.SetDatabases(now_, names);
   confirmation_.SetDatabases(names);
   leadership_.SetGroup(now_, group_);
   for (const PooledConnection& closed : pool_.SetGroup(group_, actions_)) {
-    ConnectionGone(closed, 0);
+    OnConnectionClosed(closed, 0);
   }
   queue_.SetPolicies(workspaces_, group_.queue_limit);
   for (const std::string& name : names) {
-    shares(name).SetPolicies(workspaces_, pool_.usable());
+    shares(name).SetPolicies(workspaces_, pool_.usable_limit());
   }
   for (const DatabaseSpec& spec : group_.databases) {
     if (!spec.leaving) {
@@ -215,32 +215,32 @@
 }
 
 void Keeper::Impl::Advance() {
-  if (idle_) return;
+  if (stepped_down_) return;
   for (const PendingCall& call : calls_.TakeExpired(now_)) {
-    CallFailed(call, /*refused=*/false);
+    OnControlCallFailed(call, /*refused=*/false);
   }
   ExpireDeadlines();
   leadership_.Update(now_, health_, confirmation_);
   DrivePromotion();
-  DropLostDatabases();
-  DriveFollowing();
-  JudgeUnconfirmed();
+  CloseConnectionsToLost();
+  SendFollowCalls();
+  CheckUnconfirmed();
   SendSettleCalls();
-  EndTransactionsOnLeaving();
+  EndExpiredTransactions();
   RefuseWaitingForPrimary();
-  RefuseEarly(queue_.Expire(now_));
+  RefuseFromQueue(queue_.Expire(now_));
   RefillPool();
-  Pump();
+  DispatchQueue();
   RefillPool();
-  SendRound();
+  SendHeartbeatRound();
   PollStatus();
   AdvanceStepDown();
 }
 
 void Keeper::Impl::AdvanceStepDown() {
   if (!stepping_down_) return;
-  if (now_ >= step_down_until_) {
-    for (const Transaction& open : transactions_.On("")) {
+  if (now_ >= step_down_deadline_) {
+    for (const Transaction& open : transactions_.FindOn("")) {
       CloseTransaction(open.id);
     }
   }
@@ -250,11 +250,11 @@
   }
   calls_.Clear();
   promotion_.Stop();
-  idle_ = true;
+  stepped_down_ = true;
 }
 
 TimePoint Keeper::Impl::next_deadline() const {
-  if (idle_) return TimePoint::max();
+  if (stepped_down_) return TimePoint::max();
   // Whatever was due already has been acted upon; a time that has passed
   // would only make the caller spin.
   std::array<TimePoint, 13> times = {calls_.next_deadline(),
@@ -267,24 +267,24 @@
                                      pool_.next_deadline(now_),
                                      transactions_.next_deadline(),
                                      queue_.next_deadline(),
-                                     look_again_,
-                                     patience_until_,
-                                     step_down_until_};
+                                     next_read_check_,
+                                     primary_deadline_,
+                                     step_down_deadline_};
   TimePoint next = TimePoint::max();
   for (const TimePoint at : times) {
     if (at > now_) next = std::min(next, at);
   }
   if (!deadlines_.empty()) next = std::min(next, deadlines_.begin()->first);
-  if (gap_until_ && *gap_until_ > now_) next = std::min(next, *gap_until_);
+  if (outage_end_ && *outage_end_ > now_) next = std::min(next, *outage_end_);
   for (const auto& [database, since] : leaving_since_) {
-    for (const auto bound : {kTransactionHandover, kFinishBound}) {
+    for (const auto bound : {kTransactionHandoverTimeout, kFinishTimeout}) {
       if (since + bound > now_) next = std::min(next, since + bound);
     }
   }
   return next;
 }
 
-bool Keeper::Impl::idle() const { return idle_; }
+bool Keeper::Impl::idle() const { return stepped_down_; }
 
 KeeperView Keeper::Impl::view(TimePoint now) const {
   KeeperView view;
@@ -300,25 +300,25 @@
   view.writes = writes_;
   view.refused = refused_;
   for (const DatabaseSpec& spec : group_.databases) {
-    view.databases.push_back(ViewOf(now, spec));
+    view.databases.push_back(MakeDatabaseView(now, spec));
   }
   return view;
 }
 
-DatabaseView Keeper::Impl::ViewOf(TimePoint now,
-                                  const DatabaseSpec& spec) const {
+DatabaseView Keeper::Impl::MakeDatabaseView(TimePoint now,
+                                            const DatabaseSpec& spec) const {
   DatabaseView view;
   view.database = spec.database;
-  view.reachable = health_.reachable(now, spec.database);
+  view.reachable = health_.IsReachable(now, spec.database);
   view.primary = spec.database == leadership_.primary();
   view.leaving = spec.leaving;
   if (const DatabaseStatus* status = health_.status(spec.database)) {
     view.adopted_term = status->adopted_term;
     view.last = status->last;
   }
-  if (!view.primary) view.lag = reads_.lag(now, read_view(), spec.database);
-  view.connections = pool_.open(spec.database);
-  view.running = pool_.running(spec.database);
+  if (!view.primary) view.lag = reads_.lag(now, read_context(), spec.database);
+  view.connections = pool_.open_count(spec.database);
+  view.running = pool_.running_count(spec.database);
   return view;
 }
 
--- a/src/libcore/group/keeper_answers.cc
+++ b/src/libcore/group/keeper_answers.cc
@@ -16,40 +16,41 @@
 
 }  // namespace
 
-PendingRequest* Keeper::Impl::Find(RequestTag tag) {
+PendingRequest* Keeper::Impl::FindRequest(RequestTag tag) {
   const auto it = pending_.find(tag);
   return it == pending_.end() ? nullptr : &it->second;
 }
 
-void Keeper::Impl::Answered(PendingRequest* pending, ConnectionId connection,
+void Keeper::Impl::OnAnswer(PendingRequest* pending, ConnectionId connection,
                             const ExecuteAnswer& answer) {
   if (pending->is_begin()) {
-    BeginAnswered(pending, connection, answer);
+    OnBeginAnswer(pending, connection, answer);
     return;
   }
   if (pending->in_transaction()) {
-    InTransactionAnswered(pending, connection, answer);
+    OnTransactionAnswer(pending, connection, answer);
     return;
   }
   shares(pending->database).Release(pending->request.workspace);
   if (pending->request.kind == StatementKind::kRead) {
-    ReadAnswered(pending, answer);
+    OnReadAnswer(pending, answer);
   } else {
-    WriteAnswered(pending, answer);
+    OnWriteAnswer(pending, answer);
   }
 }
 
-void Keeper::Impl::ReadAnswered(PendingRequest* pending,
+void Keeper::Impl::OnReadAnswer(PendingRequest* pending,
                                 const ExecuteAnswer& answer) {
   const auto refused = NotRunProof::RefusedBy(answer);
   if (refused && (answer.status == ExecuteStatus::kSqlError ||
                   answer.status == ExecuteStatus::kBadCall)) {
-    NotRun(pending, *refused, Reason::kSqlError, milliseconds(0), answer.error);
+    FinishNotRun(pending, *refused, Reason::kSqlError, milliseconds(0),
+                 answer.error);
     return;
   }
   if (refused) {
-    health_.Doubt(now_, pending->database);
-    Retry(pending);
+    health_.MarkSuspected(now_, pending->database);
+    PushToQueue(pending);
     return;
   }
   LogPosition needed = pending->read.seen;
@@ -59,8 +60,8 @@
   // The database may have lost entries, to a newer primary, between its status
   // and the read. The answer itself tells what the read has seen.
   if (answer.position < needed) {
-    health_.Doubt(now_, pending->database);
-    Retry(pending);
+    health_.MarkSuspected(now_, pending->database);
+    PushToQueue(pending);
     return;
   }
   const bool replica = pending->database != leadership_.primary();
@@ -69,48 +70,48 @@
                       .WithServer(pending->database, replica));
 }
 
-void Keeper::Impl::WriteAnswered(PendingRequest* pending,
+void Keeper::Impl::OnWriteAnswer(PendingRequest* pending,
                                  const ExecuteAnswer& answer) {
   switch (answer.status) {
     case ExecuteStatus::kOk:
       pending->result_json = answer.result_json;
       if (!answer.from_record) {
-        confirmation_.Wrote(pending->database, answer.position);
+        confirmation_.RecordWrite(pending->database, answer.position);
         last_written_ = std::max(last_written_, answer.position);
       }
-      Confirm(pending, RequestState::kConfirming, answer.position);
+      AwaitConfirmation(pending, RequestState::kConfirming, answer.position);
       return;
     case ExecuteStatus::kStaleTerm:
     case ExecuteStatus::kNotPrimary:
-      RefusedForTerm(pending, answer);
+      OnTermRefusal(pending, answer);
       return;
     case ExecuteStatus::kFenced:
       // A fence that only this primary holds can be lost with it, and then a
       // copy still under way could run: the caller hears "not run" only once
       // a majority holds the fence, whose position the settle call tells.
-      PutInDoubt(pending);
+      MarkInDoubt(pending);
       return;
     case ExecuteStatus::kSqlError:
     case ExecuteStatus::kBadCall:
       break;
   }
-  if (pending->doubtful) {
-    PutInDoubt(pending);
+  if (pending->may_have_run) {
+    MarkInDoubt(pending);
     return;
   }
-  NotRun(pending, *NotRunProof::RefusedBy(answer), Reason::kSqlError,
-         milliseconds(0), answer.error);
+  FinishNotRun(pending, *NotRunProof::RefusedBy(answer), Reason::kSqlError,
+               milliseconds(0), answer.error);
 }
 
-void Keeper::Impl::RefusedForTerm(PendingRequest* pending,
-                                  const ExecuteAnswer& answer) {
+void Keeper::Impl::OnTermRefusal(PendingRequest* pending,
+                                 const ExecuteAnswer& answer) {
   // The primary of that term would only refuse again.
   pending->min_term = std::max(answer.adopted_term, pending->sent_term + 1);
-  health_.Doubt(now_, pending->database);
-  Retry(pending);
+  health_.MarkSuspected(now_, pending->database);
+  PushToQueue(pending);
 }
 
-void Keeper::Impl::BeginAnswered(PendingRequest* pending,
+void Keeper::Impl::OnBeginAnswer(PendingRequest* pending,
                                  ConnectionId connection,
                                  const ExecuteAnswer& answer) {
   const std::string& workspace = pending->request.workspace;
@@ -129,18 +130,18 @@
   const bool term = answer.status == ExecuteStatus::kStaleTerm ||
                     answer.status == ExecuteStatus::kNotPrimary;
   if (term) {
-    RefusedForTerm(pending, answer);
-  } else if (pending->doubtful) {
+    OnTermRefusal(pending, answer);
+  } else if (pending->may_have_run) {
     Finish(pending, StatementAnswer::Unknown(Reason::kDatabaseLost));
   } else {
-    NotRun(pending, *NotRunProof::RefusedBy(answer), Reason::kSqlError,
-           milliseconds(0), answer.error);
+    FinishNotRun(pending, *NotRunProof::RefusedBy(answer), Reason::kSqlError,
+                 milliseconds(0), answer.error);
   }
 }
 
-void Keeper::Impl::InTransactionAnswered(PendingRequest* pending,
-                                         ConnectionId connection,
-                                         const ExecuteAnswer& answer) {
+void Keeper::Impl::OnTransactionAnswer(PendingRequest* pending,
+                                       ConnectionId connection,
+                                       const ExecuteAnswer& answer) {
   const StatementRequest& request = pending->request;
   Transaction* open =
       transactions_.Find(request.transaction, request.workspace);
@@ -152,11 +153,11 @@
     // connection makes it roll back.
     const std::string id = request.transaction;
     if (answer.status == ExecuteStatus::kFenced) {
-      PutInDoubt(pending);
+      MarkInDoubt(pending);
     } else {
-      NotRun(pending, *NotRunProof::RefusedBy(answer),
-             sql ? Reason::kSqlError : Reason::kTransactionLost,
-             milliseconds(0), answer.error);
+      FinishNotRun(pending, *NotRunProof::RefusedBy(answer),
+                   sql ? Reason::kSqlError : Reason::kTransactionLost,
+                   milliseconds(0), answer.error);
     }
     if (!sql) CloseTransaction(id);
     return;
@@ -178,14 +179,14 @@
                         .WithServer(pending->database, false));
     return;
   }
-  WriteAnswered(pending, answer);
+  OnWriteAnswer(pending, answer);
 }
 
-void Keeper::Impl::ConnectionGone(const PooledConnection& connection,
-                                  ConnectionId id) {
-  const std::string transaction = transactions_.OwnerOf(id);
+void Keeper::Impl::OnConnectionClosed(const PooledConnection& connection,
+                                      ConnectionId id) {
+  const std::string transaction = transactions_.FindOwner(id);
   if (!transaction.empty()) {
-    for (const Transaction& open : transactions_.On(connection.database)) {
+    for (const Transaction& open : transactions_.FindOn(connection.database)) {
       if (open.id == transaction) {
         shares(open.database).Release(open.workspace);
       }
@@ -196,34 +197,34 @@
   if (!connection.owned) {
     shares(connection.database).Release(connection.workspace);
   }
-  PendingRequest* pending = Find(connection.tag);
+  PendingRequest* pending = FindRequest(connection.tag);
   const bool waits =
       pending != nullptr && pending->state == RequestState::kRunning;
-  if (waits) AnswerLost(pending);
+  if (waits) OnAnswerLost(pending);
 }
 
-void Keeper::Impl::AnswerLost(PendingRequest* pending) {
+void Keeper::Impl::OnAnswerLost(PendingRequest* pending) {
   const StatementRequest& request = pending->request;
   if (pending->in_transaction() && request.step != Step::kCommit) {
     Finish(pending, StatementAnswer::Unknown(Reason::kTransactionLost));
     return;
   }
-  const bool read = !pending->changes() && !pending->is_begin();
+  const bool read = !pending->needs_confirmation() && !pending->is_begin();
   const bool again = read || pending->is_begin() ||
                      (request.repeatable && !pending->in_transaction());
-  if (!read) pending->doubtful = true;
-  if (again && retries_.TakeRetry()) {
-    Retry(pending);
-  } else if (pending->changes()) {
-    PutInDoubt(pending);
+  if (!read) pending->may_have_run = true;
+  if (again && retry_budget_.TakeRetry()) {
+    PushToQueue(pending);
+  } else if (pending->needs_confirmation()) {
+    MarkInDoubt(pending);
   } else {
     Finish(pending, StatementAnswer::Unknown(Reason::kDatabaseLost));
   }
 }
 
-void Keeper::Impl::PutInDoubt(PendingRequest* pending) {
+void Keeper::Impl::MarkInDoubt(PendingRequest* pending) {
   pending->queued = false;
-  pending->doubtful = true;
+  pending->may_have_run = true;
   pending->state = RequestState::kInDoubt;
   // Without an id there is no record and nothing to fence.
   const bool begin = pending->is_begin();
@@ -234,34 +235,35 @@
   resolution_.Add(now_, pending->tag);
 }
 
-void Keeper::Impl::SettleAnswered(const PendingCall& call,
+void Keeper::Impl::OnSettleAnswer(const PendingCall& call,
                                   const SettleAnswer& answer) {
-  PendingRequest* pending = Find(call.tag);
+  PendingRequest* pending = FindRequest(call.tag);
   if (pending == nullptr || pending->state != RequestState::kInDoubt) return;
   switch (answer.status) {
     case SettleStatus::kDone:
       pending->result_json = answer.result_json;
       resolution_.Remove(call.tag);
-      Confirm(pending, RequestState::kConfirming, answer.position);
+      AwaitConfirmation(pending, RequestState::kConfirming, answer.position);
       return;
     case SettleStatus::kFenced:
       pending->fence = answer;
       resolution_.Remove(call.tag);
-      Confirm(pending, RequestState::kFencing, answer.position);
+      AwaitConfirmation(pending, RequestState::kFencing, answer.position);
       return;
     case SettleStatus::kStaleTerm:
     case SettleStatus::kNotPrimary:
-      health_.Doubt(now_, call.database);
-      resolution_.AskAgain(now_, call.tag);
+      health_.MarkSuspected(now_, call.database);
+      resolution_.ScheduleRetry(now_, call.tag);
       return;
     case SettleStatus::kInProgress:
-      resolution_.AskAgain(now_, call.tag);
+      resolution_.ScheduleRetry(now_, call.tag);
       return;
   }
 }
 
-void Keeper::Impl::Confirm(PendingRequest* pending, RequestState state,
-                           const LogPosition& position) {
+void Keeper::Impl::AwaitConfirmation(PendingRequest* pending,
+                                     RequestState state,
+                                     const LogPosition& position) {
   pending->state = state;
   pending->position = position;
   unconfirmed_.emplace(position, pending->tag);
@@ -269,70 +271,71 @@
   unconfirmed_since_.emplace(now_, pending->tag);
 }
 
-void Keeper::Impl::JudgeUnconfirmed() {
+void Keeper::Impl::CheckUnconfirmed() {
   while (!unconfirmed_.empty()) {
     const auto [position, tag] = *unconfirmed_.begin();
-    const Verdict verdict = confirmation_.Judge(position);
+    const LogEntryState entry_state = confirmation_.ClassifyEntry(position);
     // In order of position: what is not known of this one is not known of
     // any that follows.
-    if (verdict == Verdict::kPending) return;
+    if (entry_state == LogEntryState::kPending) return;
     unconfirmed_.erase(unconfirmed_.begin());
-    PendingRequest* pending = Find(tag);
-    if (pending != nullptr) Conclude(pending, verdict);
+    PendingRequest* pending = FindRequest(tag);
+    if (pending != nullptr) FinishConfirmation(pending, entry_state);
   }
 }
 
-void Keeper::Impl::Conclude(PendingRequest* pending, Verdict verdict) {
+void Keeper::Impl::FinishConfirmation(PendingRequest* pending,
+                                      LogEntryState entry_state) {
   unconfirmed_since_.erase({pending->confirming_since, pending->tag});
-  if (verdict == Verdict::kDiscarded) {
-    Discarded(pending);
+  if (entry_state == LogEntryState::kDiscarded) {
+    OnDiscarded(pending);
     return;
   }
   if (pending->state == RequestState::kFencing) {
-    NotRun(pending, *NotRunProof::FencedBy(pending->fence, true),
-           pending->discarded ? Reason::kDiscarded : Reason::kFenced,
-           kRetryAfterFence);
+    FinishNotRun(pending, *NotRunProof::FencedBy(pending->fence, true),
+                 pending->discarded ? Reason::kDiscarded : Reason::kFenced,
+                 kRetryAfterFence);
     return;
   }
   Finish(pending, StatementAnswer::Done(pending->result_json, pending->position)
                       .WithServer(pending->database, false));
 }
 
-void Keeper::Impl::Discarded(PendingRequest* pending) {
+void Keeper::Impl::OnDiscarded(PendingRequest* pending) {
   const bool write = pending->state == RequestState::kConfirming;
   const bool again = write && !pending->settle_only &&
                      pending->request.repeatable && !pending->in_transaction();
   if (write) pending->discarded = true;
-  if (again && retries_.TakeRetry()) {
-    Retry(pending);
+  if (again && retry_budget_.TakeRetry()) {
+    PushToQueue(pending);
     return;
   }
   // This entry is gone for good, but its caller may have repeated the request
   // through another keeper, which ran it under the newer term. The new primary
   // finds that run, or fences the id: only then is it "not run".
-  PutInDoubt(pending);
+  MarkInDoubt(pending);
 }
 
 void Keeper::Impl::ExpireDeadlines() {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now_) {
     const RequestTag tag = deadlines_.begin()->second;
-    PendingRequest* pending = Find(tag);
+    PendingRequest* pending = FindRequest(tag);
     if (pending == nullptr) {
       deadlines_.erase(deadlines_.begin());
       continue;
     }
-    Expire(pending);
+    ExpireRequest(pending);
   }
 }
 
-void Keeper::Impl::Expire(PendingRequest* pending) {
+void Keeper::Impl::ExpireRequest(PendingRequest* pending) {
   switch (pending->state) {
     case RequestState::kQueued:
-      if (pending->doubtful) {
+      if (pending->may_have_run) {
         Finish(pending, StatementAnswer::Unknown(Reason::kDeadline));
       } else {
-        NotRun(pending, NotRunProof::NeverSent(), Reason::kDeadline,
-               milliseconds(0));
+        FinishNotRun(pending, NotRunProof::NeverSent(), Reason::kDeadline,
+                     milliseconds(0));
       }
       return;
     case RequestState::kRunning: {
@@ -341,7 +344,7 @@
       // Whatever the database still answers on it would be taken for the
       // answer to the next statement.
       const auto closed = pool_.Close(connection, actions_);
-      if (closed.has_value()) ConnectionGone(*closed, connection);
+      if (closed.has_value()) OnConnectionClosed(*closed, connection);
       return;
     }
     case RequestState::kConfirming:
@@ -354,9 +357,9 @@
   }
 }
 
-void Keeper::Impl::NotRun(PendingRequest* pending, const NotRunProof& proof,
-                          Reason reason, milliseconds retry_after,
-                          std::string detail) {
+void Keeper::Impl::FinishNotRun(PendingRequest* pending,
+                                const NotRunProof& proof, Reason reason,
+                                milliseconds retry_after, std::string detail) {
   ++refused_;
   Finish(pending, StatementAnswer::NotRun(proof, reason, retry_after,
                                           std::move(detail)));
@@ -364,10 +367,10 @@
 
 void Keeper::Impl::Finish(PendingRequest* pending, StatementAnswer answer) {
   actions_->push_back(Respond{pending->tag, std::move(answer)});
-  Forget(pending);
+  RemoveRequest(pending);
 }
 
-void Keeper::Impl::Forget(PendingRequest* pending) {
+void Keeper::Impl::RemoveRequest(PendingRequest* pending) {
   const RequestTag tag = pending->tag;
   if (pending->queued) queue_.Remove(tag);
   deadlines_.erase({pending->request.deadline, tag});
--- a/src/libcore/group/keeper_control.cc
+++ b/src/libcore/group/keeper_control.cc
@@ -12,77 +12,78 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kSettleCallTime{1000};
+constexpr milliseconds kSettleCallTimeout{1000};
 /// How long a change of primary takes once it has begun, for callers' sake.
-constexpr milliseconds kExpectedGap{300};
+constexpr milliseconds kExpectedOutage{300};
 
 }  // namespace
 
-void Keeper::Impl::AskNow(const std::string& database) {
-  PendingCall call{database, CallPurpose::kConfirm, now_,
+void Keeper::Impl::SendProbe(const std::string& database) {
+  PendingCall call{database, CallPurpose::kProbe, now_,
                    now_ + timing_.status_grace};
   calls_.Send(std::move(call), StatusCall{}, actions_);
 }
 
 void Keeper::Impl::PollStatus() {
-  for (const std::string& database : health_.TakeProbes()) AskNow(database);
-  for (StatusDue& due : health_.TakeDue(now_)) {
+  for (const std::string& database : health_.TakeProbes()) SendProbe(database);
+  for (DueStatusCall& due : health_.TakeDueCalls(now_)) {
     PendingCall call{due.database, CallPurpose::kStatus, now_, due.deadline};
     calls_.Send(std::move(call), due.call, actions_);
   }
 }
 
-void Keeper::Impl::CallFailed(const PendingCall& call, bool refused) {
+void Keeper::Impl::OnControlCallFailed(const PendingCall& call, bool refused) {
   switch (call.purpose) {
     case CallPurpose::kStatus:
-      health_.Failed(now_, call.database, refused);
+      health_.RecordFailure(now_, call.database, refused);
       break;
     case CallPurpose::kAdopt:
     case CallPurpose::kPromote:
-      promotion_.CallFailed(now_, call.term, call.database);
+      promotion_.OnCallFailed(now_, call.term, call.database);
       break;
     case CallPurpose::kFollow:
-      following_.Failed(call.database);
+      following_.OnCallFailed(call.database);
       break;
     case CallPurpose::kSettle:
-      resolution_.AskAgain(now_, call.tag);
+      resolution_.ScheduleRetry(now_, call.tag);
       break;
-    case CallPurpose::kConfirm:
+    case CallPurpose::kProbe:
       break;
   }
 }
 
-void Keeper::Impl::StatusArrived(const PendingCall& call,
-                                 const DatabaseStatus& status) {
-  Learn(call.database, status, call.sent, call.purpose == CallPurpose::kStatus);
+void Keeper::Impl::OnStatus(const PendingCall& call,
+                            const DatabaseStatus& status) {
+  ApplyStatus(call.database, status, call.sent,
+              call.purpose == CallPurpose::kStatus);
 }
 
-void Keeper::Impl::Learn(const std::string& database,
-                         const DatabaseStatus& status, TimePoint sent,
-                         bool waited) {
+void Keeper::Impl::ApplyStatus(const std::string& database,
+                               const DatabaseStatus& status, TimePoint sent,
+                               bool long_poll) {
   const DatabaseStatus* before = health_.status(database);
   const bool stale =
       before != nullptr && status.adopted_term < before->adopted_term;
-  health_.Answered(now_, database, status, waited);
-  confirmation_.Saw(database, status, sent);
+  health_.RecordStatus(now_, database, status, long_poll);
+  confirmation_.RecordStatus(database, status, sent);
   if (stale) return;
-  dropped_.erase(database);
+  disconnected_.erase(database);
   if (status.role == DatabaseRole::kPrimary &&
       status.adopted_term >= leadership_.term()) {
-    reads_.PrimaryAt(now_, sent, status.last);
+    reads_.RecordPrimaryPosition(now_, sent, status.last);
   } else {
-    reads_.ReplicaAt(now_, database, status.last);
+    reads_.RecordReplicaPosition(now_, database, status.last);
   }
 }
 
-bool Keeper::Impl::PrimaryQuiet() const {
+bool Keeper::Impl::IsPrimaryIdle() const {
   const std::string& primary = leadership_.primary();
   const DatabaseStatus* status = health_.status(primary);
   // A status from before the last write would take a replica that lacks the
   // write for level.
   const bool seen = status != nullptr && status->last >= last_written_;
-  return seen && pool_.running(primary) == 0 &&
-         transactions_.On(primary).empty();
+  return seen && pool_.running_count(primary) == 0 &&
+         transactions_.FindOn(primary).empty();
 }
 
 void Keeper::Impl::DrivePromotion() {
@@ -94,30 +95,30 @@
   // Another proposer was faster: its primary is as good as ours.
   const bool overtaken =
       !leadership_.primary().empty() && leadership_.term() >= promotion_.term();
-  if (promotion_.active() && overtaken) promotion_.Stop();
-  if (promotion_.ready(now_)) {
+  if (promotion_.IsActive() && overtaken) promotion_.Stop();
+  if (promotion_.IsReady(now_)) {
     const PromotionCause cause =
-        leadership_.Needs(now_, health_, PrimaryQuiet());
+        leadership_.FindPromotionCause(now_, health_, IsPrimaryIdle());
     if (cause != PromotionCause::kNone) {
       promotion_.Start(now_, leadership_.highest_term(),
-                       leadership_.Peers(now_, health_, cause));
-      leadership_.Proposed(cause);
-      gap_until_ = now_ + kExpectedGap;
+                       leadership_.MakeProposalPeers(now_, health_, cause));
+      leadership_.OnProposalStarted(cause);
+      outage_end_ = now_ + kExpectedOutage;
     }
   }
   SendProposalCalls();
-  if (leadership_.TakeProofWanted(now_)) AskReplicas();
+  if (leadership_.TakeReplicaProbeDue(now_)) ProbeReplicas();
   if (!leadership_.primary().empty()) {
-    patience_until_ = now_ + 2 * timing_.lost_after;
+    primary_deadline_ = now_ + 2 * timing_.lost_after;
   }
-  if (primary_open()) gap_until_.reset();
+  if (IsPrimaryAvailable()) outage_end_.reset();
 }
 
-void Keeper::Impl::AskReplicas() {
+void Keeper::Impl::ProbeReplicas() {
   for (const DatabaseSpec& spec : group_.databases) {
     const bool replica = spec.database != leadership_.primary();
-    if (replica && health_.reachable(now_, spec.database)) {
-      AskNow(spec.database);
+    if (replica && health_.IsReachable(now_, spec.database)) {
+      SendProbe(spec.database);
     }
   }
 }
@@ -132,15 +133,15 @@
   }
 }
 
-void Keeper::Impl::DriveFollowing() {
+void Keeper::Impl::SendFollowCalls() {
   const DatabaseStatus* primary = health_.status(leadership_.primary());
-  if (primary == nullptr || promotion_.active()) return;
+  if (primary == nullptr || promotion_.IsActive()) return;
   if (primary->role != DatabaseRole::kPrimary) return;
   for (const DatabaseSpec& spec : group_.databases) {
     const DatabaseStatus* replica = health_.status(spec.database);
     if (replica == nullptr || spec.database == leadership_.primary()) continue;
-    if (!health_.reachable(now_, spec.database)) continue;
-    if (!following_.TakeDue(now_, *primary, *replica)) continue;
+    if (!health_.IsReachable(now_, spec.database)) continue;
+    if (!following_.MarkSentIfDue(now_, *primary, *replica)) continue;
     PendingCall call{spec.database, CallPurpose::kFollow, now_,
                      now_ + timing_.proposal_call, primary->adopted_term};
     calls_.Send(
@@ -150,23 +151,24 @@
   }
 }
 
-void Keeper::Impl::DropLostDatabases() {
+void Keeper::Impl::CloseConnectionsToLost() {
   for (const DatabaseSpec& spec : group_.databases) {
-    if (!health_.lost(now_, spec.database)) continue;
-    if (!dropped_.insert(spec.database).second) continue;
+    if (!health_.IsLost(now_, spec.database)) continue;
+    if (!disconnected_.insert(spec.database).second) continue;
     for (const ConnectionId id : pool_.ConnectionsTo(spec.database)) {
       const auto closed = pool_.Close(id, actions_);
-      if (closed.has_value()) ConnectionGone(*closed, id);
+      if (closed.has_value()) OnConnectionClosed(*closed, id);
     }
   }
 }
 
 void Keeper::Impl::SendSettleCalls() {
-  if (resolution_.empty() || promotion_.active()) return;
+  if (resolution_.empty() || promotion_.IsActive()) return;
   const std::string& primary = leadership_.primary();
-  if (primary.empty() || health_.lost(now_, primary)) return;
-  for (const RequestTag tag : resolution_.TakeDue(now_, leadership_.term())) {
-    const PendingRequest* pending = Find(tag);
+  if (primary.empty() || health_.IsLost(now_, primary)) return;
+  for (const RequestTag tag :
+       resolution_.TakeDueCalls(now_, leadership_.term())) {
+    const PendingRequest* pending = FindRequest(tag);
     if (pending == nullptr) {
       resolution_.Remove(tag);
       continue;
@@ -174,7 +176,7 @@
     PendingCall call{primary,
                      CallPurpose::kSettle,
                      now_,
-                     now_ + kSettleCallTime,
+                     now_ + kSettleCallTimeout,
                      leadership_.term(),
                      tag};
     calls_.Send(std::move(call),
@@ -184,27 +186,27 @@
   }
 }
 
-void Keeper::Impl::SendRound() {
-  if (!round_wanted_.has_value() || leadership_.primary().empty()) return;
-  if (!reads_.StartRound(now_, read_view(), *round_wanted_)) return;
+void Keeper::Impl::SendHeartbeatRound() {
+  if (!round_needed_for_.has_value() || leadership_.primary().empty()) return;
+  if (!reads_.StartRoundIfDue(now_, read_context(), *round_needed_for_)) return;
   for (const DatabaseSpec& spec : group_.databases) {
-    if (health_.reachable(now_, spec.database)) AskNow(spec.database);
+    if (health_.IsReachable(now_, spec.database)) SendProbe(spec.database);
   }
 }
 
-bool Keeper::Impl::primary_open() const {
+bool Keeper::Impl::IsPrimaryAvailable() const {
   const std::string& primary = leadership_.primary();
-  return !primary.empty() && !promotion_.active() &&
-         !leadership_.primary_leaving() && !health_.doubted(primary) &&
-         health_.reachable(now_, primary);
+  return !primary.empty() && !promotion_.IsActive() &&
+         !leadership_.IsPrimaryLeaving() && !health_.IsSuspected(primary) &&
+         health_.IsReachable(now_, primary);
 }
 
-bool Keeper::Impl::given_up() const {
-  if (leadership_.primary().empty() && now_ >= patience_until_) return true;
-  if (!health_.settled(now_)) return false;
+bool Keeper::Impl::ShouldFailFast() const {
+  if (leadership_.primary().empty() && now_ >= primary_deadline_) return true;
+  if (!health_.HasAssessedAll(now_)) return false;
   const bool needed = leadership_.primary().empty() ||
-                      health_.lost(now_, leadership_.primary());
-  return needed && !leadership_.majority_reachable(now_, health_);
+                      health_.IsLost(now_, leadership_.primary());
+  return needed && !leadership_.IsMajorityReachable(now_, health_);
 }
 
 }  // namespace ryefold::core::group
--- a/src/libcore/group/keeper_impl.h
+++ b/src/libcore/group/keeper_impl.h
@@ -28,9 +28,9 @@
 
 /// Open transactions of a keeper that steps down, and what runs on a leaving
 /// database, may go on for this long.
-constexpr std::chrono::milliseconds kFinishBound{2000};
+constexpr std::chrono::milliseconds kFinishTimeout{2000};
 /// Transactions on a leaving primary, for which all writes are held.
-constexpr std::chrono::milliseconds kTransactionHandover{200};
+constexpr std::chrono::milliseconds kTransactionHandoverTimeout{200};
 /// When to come back after a refusal by a keeper that steps down: the next one
 /// is there already.
 constexpr std::chrono::milliseconds kRetryAfterStepDown{20};
@@ -62,96 +62,97 @@
   void SetPolicy(GroupSpec group, std::vector<WorkspacePolicy> workspaces);
   void Advance();
   void AdvanceStepDown();
-  DatabaseView ViewOf(TimePoint now, const DatabaseSpec& spec) const;
+  DatabaseView MakeDatabaseView(TimePoint now, const DatabaseSpec& spec) const;
 
   // keeper_control.cc
   void PollStatus();
-  void CallFailed(const PendingCall& call, bool refused);
-  void StatusArrived(const PendingCall& call, const DatabaseStatus& status);
-  void Learn(const std::string& database, const DatabaseStatus& status,
-             TimePoint sent, bool waited);
+  void OnControlCallFailed(const PendingCall& call, bool refused);
+  void OnStatus(const PendingCall& call, const DatabaseStatus& status);
+  void ApplyStatus(const std::string& database, const DatabaseStatus& status,
+                   TimePoint sent, bool long_poll);
   void DrivePromotion();
   void SendProposalCalls();
-  void AskReplicas();
-  void DriveFollowing();
-  void DropLostDatabases();
+  void ProbeReplicas();
+  void SendFollowCalls();
+  void CloseConnectionsToLost();
   void SendSettleCalls();
-  void SendRound();
-  void AskNow(const std::string& database);
-  bool PrimaryQuiet() const;
+  void SendHeartbeatRound();
+  void SendProbe(const std::string& database);
+  bool IsPrimaryIdle() const;
   /// Whether the primary takes new statements now.
-  bool primary_open() const;
+  bool IsPrimaryAvailable() const;
   /// Whether waiting for a primary makes no sense at present.
-  bool given_up() const;
+  bool ShouldFailFast() const;
 
   // keeper_requests.cc
   void Enqueue(PendingRequest* pending);
-  void RefuseEarly(const std::vector<admission::Refusal>& refusals);
+  void RefuseFromQueue(const std::vector<admission::Refusal>& refusals);
   bool RefuseOnArrival(const PendingRequest& pending);
   void RefuseWaitingForPrimary();
-  std::chrono::milliseconds RetryAfterGap() const;
-  bool ConfirmationTooSlow(TimePoint deadline) const;
-  void Pump();
-  void SendWhatCanRun();
-  bool AnyRunning() const;
-  bool AnySlotFree() const;
-  bool AnyReadPossible() const;
-  bool CanRun(const admission::Ticket& ticket, const ReadView& view);
+  std::chrono::milliseconds RetryAfterOutage() const;
+  bool IsConfirmationTooSlow(TimePoint deadline) const;
+  void DispatchQueue();
+  void DispatchRunnable();
+  bool IsAnyRunning() const;
+  bool HasAnyFreeSlot() const;
+  bool CanServeAnyRead() const;
+  bool CanRun(const admission::Ticket& ticket, const ReadContext& context);
   bool CanRunInTransaction(PendingRequest* pending);
   bool CanRunOnPrimary(PendingRequest* pending);
-  bool CanRunRead(PendingRequest* pending, const ReadView& view);
-  void Start(PendingRequest* pending);
-  void EndTransactionsOnLeaving();
+  bool CanRunRead(PendingRequest* pending, const ReadContext& context);
+  void Dispatch(PendingRequest* pending);
+  void EndExpiredTransactions();
   void CloseTransaction(const std::string& id);
   void CloseIdleOnLeaving();
   void RefillPool();
-  ReadView read_view() const;
+  ReadContext read_context() const;
 
   // keeper_answers.cc
-  void Answered(PendingRequest* pending, ConnectionId connection,
+  void OnAnswer(PendingRequest* pending, ConnectionId connection,
                 const ExecuteAnswer& answer);
-  void ReadAnswered(PendingRequest* pending, const ExecuteAnswer& answer);
-  void WriteAnswered(PendingRequest* pending, const ExecuteAnswer& answer);
-  void BeginAnswered(PendingRequest* pending, ConnectionId connection,
+  void OnReadAnswer(PendingRequest* pending, const ExecuteAnswer& answer);
+  void OnWriteAnswer(PendingRequest* pending, const ExecuteAnswer& answer);
+  void OnBeginAnswer(PendingRequest* pending, ConnectionId connection,
                      const ExecuteAnswer& answer);
-  void InTransactionAnswered(PendingRequest* pending, ConnectionId connection,
-                             const ExecuteAnswer& answer);
-  void RefusedForTerm(PendingRequest* pending, const ExecuteAnswer& answer);
-  void AnswerLost(PendingRequest* pending);
-  void Retry(PendingRequest* pending);
-  void PutInDoubt(PendingRequest* pending);
-  void Confirm(PendingRequest* pending, RequestState state,
-               const LogPosition& position);
-  void JudgeUnconfirmed();
-  void Conclude(PendingRequest* pending, Verdict verdict);
-  void Discarded(PendingRequest* pending);
-  void SettleAnswered(const PendingCall& call, const SettleAnswer& answer);
-  void ConnectionGone(const PooledConnection& connection, ConnectionId id);
+  void OnTransactionAnswer(PendingRequest* pending, ConnectionId connection,
+                           const ExecuteAnswer& answer);
+  void OnTermRefusal(PendingRequest* pending, const ExecuteAnswer& answer);
+  void OnAnswerLost(PendingRequest* pending);
+  void PushToQueue(PendingRequest* pending);
+  void MarkInDoubt(PendingRequest* pending);
+  void AwaitConfirmation(PendingRequest* pending, RequestState state,
+                         const LogPosition& position);
+  void CheckUnconfirmed();
+  void FinishConfirmation(PendingRequest* pending, LogEntryState entry_state);
+  void OnDiscarded(PendingRequest* pending);
+  void OnSettleAnswer(const PendingCall& call, const SettleAnswer& answer);
+  void OnConnectionClosed(const PooledConnection& connection, ConnectionId id);
   void ExpireDeadlines();
-  void Expire(PendingRequest* pending);
-  void NotRun(PendingRequest* pending, const NotRunProof& proof, Reason reason,
-              std::chrono::milliseconds retry_after, std::string detail = {});
+  void ExpireRequest(PendingRequest* pending);
+  void FinishNotRun(PendingRequest* pending, const NotRunProof& proof,
+                    Reason reason, std::chrono::milliseconds retry_after,
+                    std::string detail = {});
   void Finish(PendingRequest* pending, StatementAnswer answer);
-  void Forget(PendingRequest* pending);
-  PendingRequest* Find(RequestTag tag);
+  void RemoveRequest(PendingRequest* pending);
+  PendingRequest* FindRequest(RequestTag tag);
   admission::ConnectionShares& shares(const std::string& database);
 
   GroupSpec group_;
   std::vector<WorkspacePolicy> workspaces_;
   KeeperTiming timing_;
 
-  Health health_;
-  Confirmation confirmation_;
+  HealthMonitor health_;
+  ConfirmationTracker confirmation_;
   Leadership leadership_;
   Promotion promotion_;
-  Following following_;
-  Resolution resolution_;
-  Reads reads_;
-  Pool pool_;
-  Transactions transactions_;
+  FollowScheduler following_;
+  InDoubtResolver resolution_;
+  ReadPlanner reads_;
+  ConnectionPool pool_;
+  TransactionTable transactions_;
   CallTable calls_;
   admission::Queue queue_;
-  admission::RetryBudget retries_;
+  admission::RetryBudget retry_budget_;
   std::map<std::string, admission::ConnectionShares> shares_;
 
   std::map<RequestTag, PendingRequest> pending_;
@@ -160,7 +161,7 @@
   /// When each unconfirmed write was answered by the primary, oldest first.
   std::set<std::pair<TimePoint, RequestTag>> unconfirmed_since_;
   /// Workspaces that have requests waiting, while pumping.
-  std::vector<std::string> wanted_;
+  std::vector<std::string> waiting_workspaces_;
 
   // The event being handled.
   TimePoint now_;
@@ -169,25 +170,25 @@
   /// Set while pumping: where the ticket looked at last may run.
   std::string target_;
   ConnectionId target_connection_ = 0;
-  bool reads_open_ = false;
-  uint32_t routes_left_ = 0;
+  bool reads_possible_ = false;
+  uint32_t route_attempts_left_ = 0;
   /// When the newest read that waits for a round arrived.
-  std::optional<TimePoint> round_wanted_;
+  std::optional<TimePoint> round_needed_for_;
   /// A waiting read is looked at again then.
-  TimePoint look_again_ = TimePoint::max();
+  TimePoint next_read_check_ = TimePoint::max();
   /// When the primary should be there again, while there is none.
-  std::optional<TimePoint> gap_until_;
+  std::optional<TimePoint> outage_end_;
   /// Until when a group without a primary is worth waiting for.
-  TimePoint patience_until_;
-  std::set<std::string> dropped_;
+  TimePoint primary_deadline_;
+  std::set<std::string> disconnected_;
   /// When each leaving database was marked so.
   std::map<std::string, TimePoint> leaving_since_;
   /// Last entry that a write of this keeper is known to have made.
   LogPosition last_written_;
 
   bool stepping_down_ = false;
-  TimePoint step_down_until_;
-  bool idle_ = false;
+  TimePoint step_down_deadline_;
+  bool stepped_down_ = false;
 
   uint64_t failovers_ = 0;
   uint64_t reads_replica_ = 0;
--- a/src/libcore/group/keeper_requests.cc
+++ b/src/libcore/group/keeper_requests.cc
@@ -12,12 +12,12 @@
 using std::chrono::milliseconds;
 
 /// When to come back while the group cannot have a primary at all.
-constexpr milliseconds kRetryAfterGivenUp{500};
+constexpr milliseconds kRetryAfterUnavailable{500};
 constexpr milliseconds kMinRetryAfter{20};
 /// Reads that may be routed in vain for one event. While many wait for a
 /// replica to catch up, each event would otherwise route all of them again, and
 /// the keeper would have time for nothing else.
-constexpr uint32_t kRoutesPerEvent = 64;
+constexpr uint32_t kMaxRouteAttemptsPerEvent = 64;
 
 milliseconds MaxAgeOf(const StatementRequest& request,
                       const std::vector<WorkspacePolicy>& workspaces) {
@@ -36,8 +36,8 @@
   pending->read.max_age = MaxAgeOf(pending->request, workspaces_);
   deadlines_.emplace(pending->request.deadline, pending->tag);
   if (RefuseOnArrival(*pending)) return;
-  retries_.FirstTry();
-  Retry(pending);
+  retry_budget_.FirstTry();
+  PushToQueue(pending);
 }
 
 bool Keeper::Impl::RefuseOnArrival(const PendingRequest& pending) {
@@ -54,37 +54,39 @@
   } else if (stepping_down_) {
     reason = Reason::kShuttingDown;
     retry_after = kRetryAfterStepDown;
-  } else if (pending.needs_primary() && given_up()) {
+  } else if (pending.needs_primary() && ShouldFailFast()) {
     reason = Reason::kNoPrimary;
-    retry_after = kRetryAfterGivenUp;
-  } else if (pending.needs_primary() && gap_until_ &&
-             request.deadline < *gap_until_) {
+    retry_after = kRetryAfterUnavailable;
+  } else if (pending.needs_primary() && outage_end_ &&
+             request.deadline < *outage_end_) {
     reason = Reason::kNoPrimary;
-    retry_after = RetryAfterGap();
-  } else if (pending.changes() && ConfirmationTooSlow(request.deadline)) {
+    retry_after = RetryAfterOutage();
+  } else if (pending.needs_confirmation() &&
+             IsConfirmationTooSlow(request.deadline)) {
     reason = Reason::kConfirmationSlow;
-    retry_after = kRetryAfterGivenUp;
+    retry_after = kRetryAfterUnavailable;
   }
   if (request.deadline <= now_) reason = Reason::kDeadline;
   if (reason == Reason::kNone) return false;
-  NotRun(Find(pending.tag), NotRunProof::NeverSent(), reason, retry_after);
+  FinishNotRun(FindRequest(pending.tag), NotRunProof::NeverSent(), reason,
+               retry_after);
   return true;
 }
 
-bool Keeper::Impl::ConfirmationTooSlow(TimePoint deadline) const {
+bool Keeper::Impl::IsConfirmationTooSlow(TimePoint deadline) const {
   if (unconfirmed_since_.empty()) return false;
-  const auto waited = now_ - unconfirmed_since_.begin()->first;
-  return now_ + waited > deadline;
+  const auto oldest_wait = now_ - unconfirmed_since_.begin()->first;
+  return now_ + oldest_wait > deadline;
 }
 
-milliseconds Keeper::Impl::RetryAfterGap() const {
-  if (!gap_until_ || *gap_until_ <= now_) return kMinRetryAfter;
+milliseconds Keeper::Impl::RetryAfterOutage() const {
+  if (!outage_end_ || *outage_end_ <= now_) return kMinRetryAfter;
   const auto left =
-      std::chrono::duration_cast<milliseconds>(*gap_until_ - now_);
+      std::chrono::duration_cast<milliseconds>(*outage_end_ - now_);
   return std::max(left, kMinRetryAfter);
 }
 
-void Keeper::Impl::Retry(PendingRequest* pending) {
+void Keeper::Impl::PushToQueue(PendingRequest* pending) {
   pending->state = RequestState::kQueued;
   admission::Ticket ticket;
   ticket.tag = pending->tag;
@@ -93,47 +95,47 @@
   ticket.enqueued = pending->read.arrived;
   ticket.in_transaction = pending->in_transaction();
   pending->queued = true;
-  RefuseEarly(queue_.Push(now_, ticket));
+  RefuseFromQueue(queue_.Push(now_, ticket));
 }
 
-void Keeper::Impl::RefuseEarly(
+void Keeper::Impl::RefuseFromQueue(
     const std::vector<admission::Refusal>& refusals) {
   for (const admission::Refusal& refusal : refusals) {
-    PendingRequest* pending = Find(refusal.tag);
+    PendingRequest* pending = FindRequest(refusal.tag);
     if (pending == nullptr) continue;
-    if (pending->doubtful) {
-      PutInDoubt(pending);
+    if (pending->may_have_run) {
+      MarkInDoubt(pending);
     } else {
-      NotRun(pending, NotRunProof::NeverSent(), refusal.reason,
-             refusal.retry_after);
+      FinishNotRun(pending, NotRunProof::NeverSent(), refusal.reason,
+                   refusal.retry_after);
     }
   }
 }
 
 void Keeper::Impl::RefuseWaitingForPrimary() {
-  const bool hopeless = given_up();
-  if (!hopeless && !gap_until_) return;
+  const bool fail_fast = ShouldFailFast();
+  if (!fail_fast && !outage_end_) return;
   const auto refusals = queue_.Drop(
-      now_, Reason::kNoPrimary, [this, hopeless](const auto& ticket) {
-        const PendingRequest* pending = Find(ticket.tag);
+      now_, Reason::kNoPrimary, [this, fail_fast](const auto& ticket) {
+        const PendingRequest* pending = FindRequest(ticket.tag);
         if (pending == nullptr || !pending->needs_primary()) return false;
-        return hopeless || ticket.deadline < *gap_until_;
+        return fail_fast || ticket.deadline < *outage_end_;
       });
   const milliseconds retry_after =
-      hopeless ? kRetryAfterGivenUp : RetryAfterGap();
+      fail_fast ? kRetryAfterUnavailable : RetryAfterOutage();
   for (const admission::Refusal& refusal : refusals) {
-    PendingRequest* pending = Find(refusal.tag);
+    PendingRequest* pending = FindRequest(refusal.tag);
     if (pending == nullptr) continue;
-    if (pending->doubtful) {
-      PutInDoubt(pending);
+    if (pending->may_have_run) {
+      MarkInDoubt(pending);
     } else {
-      NotRun(pending, NotRunProof::NeverSent(), Reason::kNoPrimary,
-             retry_after);
+      FinishNotRun(pending, NotRunProof::NeverSent(), Reason::kNoPrimary,
+                   retry_after);
     }
   }
 }
 
-ReadView Keeper::Impl::read_view() const {
+ReadContext Keeper::Impl::read_context() const {
   const std::string& primary = leadership_.primary();
   const uint64_t term = std::max<uint64_t>(leadership_.term(), 1);
   return {group_,
@@ -142,66 +144,67 @@
           pool_,
           primary,
           term,
-          confirmation_.VouchedAt(term),
-          confirmation_.HeardAt(primary, term)};
+          confirmation_.TermConfirmedAt(term),
+          confirmation_.LastContactAt(primary, term)};
 }
 
-bool Keeper::Impl::AnyRunning() const {
+bool Keeper::Impl::IsAnyRunning() const {
   return std::any_of(group_.databases.begin(), group_.databases.end(),
                      [this](const DatabaseSpec& spec) {
-                       return pool_.running(spec.database) > 0;
+                       return pool_.running_count(spec.database) > 0;
                      });
 }
 
-bool Keeper::Impl::AnySlotFree() const {
+bool Keeper::Impl::HasAnyFreeSlot() const {
   return std::any_of(group_.databases.begin(), group_.databases.end(),
                      [this](const DatabaseSpec& spec) {
-                       return pool_.HasSlot(spec.database);
+                       return pool_.HasFreeSlot(spec.database);
                      });
 }
 
-void Keeper::Impl::Pump() {
-  SendWhatCanRun();
+void Keeper::Impl::DispatchQueue() {
+  DispatchRunnable();
   // Reads that wait for a confirmation, and writes for a primary, wait while
   // every slot is free. Counted as a busy group that finishes nothing, they
   // made it look all but stopped, and callers with seconds left were refused.
-  queue_.SetWorking(now_, AnyRunning());
+  queue_.SetWorking(now_, IsAnyRunning());
 }
 
-void Keeper::Impl::SendWhatCanRun() {
-  round_wanted_.reset();
-  look_again_ = TimePoint::max();
-  wanted_ = queue_.waiting();
-  const ReadView view = read_view();
-  routes_left_ = kRoutesPerEvent;
+void Keeper::Impl::DispatchRunnable() {
+  round_needed_for_.reset();
+  next_read_check_ = TimePoint::max();
+  waiting_workspaces_ = queue_.waiting();
+  const ReadContext context = read_context();
+  route_attempts_left_ = kMaxRouteAttemptsPerEvent;
   // A full group is not worth the walk over everything that waits.
-  while (queue_.size() > 0 && AnySlotFree()) {
-    reads_open_ = AnyReadPossible();
+  while (queue_.size() > 0 && HasAnyFreeSlot()) {
+    reads_possible_ = CanServeAnyRead();
     const auto ticket =
-        queue_.Pop(now_, [this, &view](const admission::Ticket& next) {
-          return CanRun(next, view);
+        queue_.Pop(now_, [this, &context](const admission::Ticket& next) {
+          return CanRun(next, context);
         });
     if (!ticket.has_value()) return;
-    if (PendingRequest* pending = Find(ticket->tag)) Start(pending);
+    if (PendingRequest* pending = FindRequest(ticket->tag)) Dispatch(pending);
   }
 }
 
-bool Keeper::Impl::AnyReadPossible() const {
+bool Keeper::Impl::CanServeAnyRead() const {
   return std::any_of(group_.databases.begin(), group_.databases.end(),
                      [this](const DatabaseSpec& spec) {
-                       return !spec.leaving && pool_.HasSlot(spec.database) &&
-                              pool_.IdleOn(spec.database).has_value() &&
-                              health_.reachable(now_, spec.database);
+                       return !spec.leaving &&
+                              pool_.HasFreeSlot(spec.database) &&
+                              pool_.FindIdle(spec.database).has_value() &&
+                              health_.IsReachable(now_, spec.database);
                      });
 }
 
 bool Keeper::Impl::CanRun(const admission::Ticket& ticket,
-                          const ReadView& view) {
-  PendingRequest* pending = Find(ticket.tag);
+                          const ReadContext& context) {
+  PendingRequest* pending = FindRequest(ticket.tag);
   if (pending == nullptr) return false;
   if (pending->in_transaction()) return CanRunInTransaction(pending);
   if (pending->needs_primary()) return CanRunOnPrimary(pending);
-  return CanRunRead(pending, view);
+  return CanRunRead(pending, context);
 }
 
 bool Keeper::Impl::CanRunInTransaction(PendingRequest* pending) {
@@ -209,62 +212,65 @@
                                                pending->request.workspace);
   // Of a transaction that is gone: taken out, to be refused.
   if (open == nullptr) return true;
-  if (open->running || !pool_.HasSlot(open->database)) return false;
+  if (open->running || !pool_.HasFreeSlot(open->database)) return false;
   target_ = open->database;
   target_connection_ = open->connection;
   return true;
 }
 
 bool Keeper::Impl::CanRunOnPrimary(PendingRequest* pending) {
-  if (!primary_open()) return false;
+  if (!IsPrimaryAvailable()) return false;
   const std::string& primary = leadership_.primary();
   if (leadership_.term() < pending->min_term) return false;
-  if (!pool_.HasSlot(primary)) return false;
-  if (pending->is_begin() && !pool_.MayOwn(primary)) return false;
-  if (!shares(primary).MayTake(pending->request.workspace, wanted_)) {
+  if (!pool_.HasFreeSlot(primary)) return false;
+  if (pending->is_begin() && !pool_.CanBeginTransaction(primary)) return false;
+  if (!shares(primary).MayTake(pending->request.workspace,
+                               waiting_workspaces_)) {
     return false;
   }
-  const auto idle = pool_.IdleOn(primary);
+  const auto idle = pool_.FindIdle(primary);
   if (!idle.has_value()) return false;
   target_ = primary;
   target_connection_ = *idle;
   return true;
 }
 
-bool Keeper::Impl::CanRunRead(PendingRequest* pending, const ReadView& view) {
-  if (reads_.NeedsRound(view, &pending->read)) {
-    round_wanted_ =
-        std::max(round_wanted_.value_or(TimePoint{}), pending->read.arrived);
+bool Keeper::Impl::CanRunRead(PendingRequest* pending,
+                              const ReadContext& context) {
+  if (reads_.NeedsHeartbeatRound(context, &pending->read)) {
+    round_needed_for_ = std::max(round_needed_for_.value_or(TimePoint{}),
+                                 pending->read.arrived);
     return false;
   }
-  if (!reads_open_ || routes_left_ == 0) return false;
-  --routes_left_;
-  const routing::Route route =
-      reads_.Choose(now_, view, pending->read, pending->request.deadline);
+  if (!reads_possible_ || route_attempts_left_ == 0) return false;
+  --route_attempts_left_;
+  const routing::Route route = reads_.ChooseRoute(now_, context, pending->read,
+                                                  pending->request.deadline);
   if (route.kind == routing::RouteKind::kWait) {
-    look_again_ = std::min(look_again_, route.look_again);
+    next_read_check_ = std::min(next_read_check_, route.look_again);
   }
   if (route.kind != routing::RouteKind::kServe) return false;
-  if (!shares(route.database).MayTake(pending->request.workspace, wanted_)) {
+  if (!shares(route.database)
+           .MayTake(pending->request.workspace, waiting_workspaces_)) {
     return false;
   }
-  const auto idle = pool_.IdleOn(route.database);
+  const auto idle = pool_.FindIdle(route.database);
   if (!idle.has_value()) return false;
-  ++routes_left_;
+  ++route_attempts_left_;
   target_ = route.database;
   target_connection_ = *idle;
   return true;
 }
 
-void Keeper::Impl::Start(PendingRequest* pending) {
+void Keeper::Impl::Dispatch(PendingRequest* pending) {
   const StatementRequest& request = pending->request;
   pending->queued = false;
   if (pending->in_transaction()) {
     Transaction* open =
         transactions_.Find(request.transaction, request.workspace);
     if (open == nullptr) {
-      NotRun(pending, NotRunProof::NeverSent(), Reason::kTransactionLost,
-             milliseconds(0));
+      FinishNotRun(pending, NotRunProof::NeverSent(), Reason::kTransactionLost,
+                   milliseconds(0));
       return;
     }
     transactions_.SetRunning(now_, open, true);
@@ -274,8 +280,8 @@
   pending->state = RequestState::kRunning;
   pending->database = target_;
   pending->connection = target_connection_;
-  pool_.Run(target_connection_, pending->tag, request.workspace);
-  if (pending->changes()) ++writes_;
+  pool_.MarkRunning(target_connection_, pending->tag, request.workspace);
+  if (pending->needs_confirmation()) ++writes_;
 
   ExecuteCall call;
   const DatabaseStatus* status = health_.status(target_);
@@ -290,39 +296,40 @@
   call.workspace = request.workspace;
   // The record answers a repeat, by this keeper or by the caller through any
   // other, without running the write again.
-  call.record = pending->changes() && !request.request_id.empty();
+  call.record = pending->needs_confirmation() && !request.request_id.empty();
   call.sql = request.sql;
   call.params_json = request.params_json;
   actions_->push_back(Execute{target_connection_, std::move(call)});
 }
 
 void Keeper::Impl::CloseTransaction(const std::string& id) {
-  for (const Transaction& open : transactions_.On("")) {
+  for (const Transaction& open : transactions_.FindOn("")) {
     if (open.id != id) continue;
     transactions_.Erase(id);
     shares(open.database).Release(open.workspace);
     const auto closed = pool_.Close(open.connection, actions_);
-    if (closed.has_value()) ConnectionGone(*closed, open.connection);
+    if (closed.has_value()) OnConnectionClosed(*closed, open.connection);
     return;
   }
 }
 
-void Keeper::Impl::EndTransactionsOnLeaving() {
-  for (const Transaction& open : transactions_.Idle(now_)) {
+void Keeper::Impl::EndExpiredTransactions() {
+  for (const Transaction& open : transactions_.FindAbandoned(now_)) {
     CloseTransaction(open.id);
   }
   for (const auto& [database, since] : leaving_since_) {
     const bool primary = database == leadership_.primary();
-    if (now_ < since + (primary ? kTransactionHandover : kFinishBound)) {
+    if (now_ <
+        since + (primary ? kTransactionHandoverTimeout : kFinishTimeout)) {
       continue;
     }
-    for (const Transaction& open : transactions_.On(database)) {
+    for (const Transaction& open : transactions_.FindOn(database)) {
       CloseTransaction(open.id);
     }
-    if (now_ < since + kFinishBound) continue;
+    if (now_ < since + kFinishTimeout) continue;
     for (const ConnectionId id : pool_.ConnectionsTo(database)) {
       const auto closed = pool_.Close(id, actions_);
-      if (closed.has_value()) ConnectionGone(*closed, id);
+      if (closed.has_value()) OnConnectionClosed(*closed, id);
     }
   }
 }
@@ -330,15 +337,15 @@
 void Keeper::Impl::RefillPool() {
   if (stepping_down_) return;
   for (const DatabaseSpec& spec : group_.databases) {
-    if (spec.leaving || !health_.reachable(now_, spec.database)) continue;
+    if (spec.leaving || !health_.IsReachable(now_, spec.database)) continue;
     pool_.Refill(now_, spec.database, actions_);
   }
 }
 
 admission::ConnectionShares& Keeper::Impl::shares(const std::string& database) {
   return shares_
-      .try_emplace(database,
-                   admission::ConnectionShares(workspaces_, pool_.usable()))
+      .try_emplace(database, admission::ConnectionShares(workspaces_,
+                                                         pool_.usable_limit()))
       .first->second;
 }
 
--- a/src/libcore/group/leadership.cc
+++ b/src/libcore/group/leadership.cc
@@ -9,45 +9,45 @@
 
 /// How long a group may be without a primary, or a stray term stand, before
 /// this keeper proposes: another proposer may be at it.
-constexpr std::chrono::milliseconds kStrayGrace{300};
-constexpr int kStrayJitterMs = 200;
-constexpr int kMaxDoublings = 4;
+constexpr std::chrono::milliseconds kMissingPrimaryGrace{300};
+constexpr int kMissingPrimaryJitterMs = 200;
+constexpr int kMaxTimeoutDoublings = 4;
 /// Bound of a planned change: what runs on a leaving primary may finish and
 /// the successor catch up for this long.
-constexpr std::chrono::milliseconds kHandoverBound{200};
+constexpr std::chrono::milliseconds kHandoverTimeout{200};
 
 }  // namespace
 
 void Leadership::SetGroup(TimePoint now, const GroupSpec& group) {
   group_ = group;
-  if (!primary_leaving()) handover_until_.reset();
-  if (primary_leaving() && !handover_until_) {
-    handover_until_ = now + kHandoverBound;
+  if (!IsPrimaryLeaving()) handover_deadline_.reset();
+  if (IsPrimaryLeaving() && !handover_deadline_) {
+    handover_deadline_ = now + kHandoverTimeout;
   }
 }
 
-bool Leadership::leaving(const std::string& database) const {
+bool Leadership::IsLeaving(const std::string& database) const {
   return std::any_of(group_.databases.begin(), group_.databases.end(),
                      [&database](const DatabaseSpec& spec) {
                        return spec.leaving && spec.database == database;
                      });
 }
 
-bool Leadership::primary_leaving() const {
-  return !primary_.empty() && leaving(primary_);
+bool Leadership::IsPrimaryLeaving() const {
+  return !primary_.empty() && IsLeaving(primary_);
 }
 
-void Leadership::Update(TimePoint now, const Health& health,
-                        const Confirmation& confirmation) {
+void Leadership::Update(TimePoint now, const HealthMonitor& health,
+                        const ConfirmationTracker& confirmation) {
   UpdatePrimary(health);
-  UpdateStray(now, health);
+  UpdateMissingPrimary(now, health);
   UpdateProgress(now, health, confirmation);
-  if (primary_leaving() && !handover_until_) {
-    handover_until_ = now + kHandoverBound;
+  if (IsPrimaryLeaving() && !handover_deadline_) {
+    handover_deadline_ = now + kHandoverTimeout;
   }
 }
 
-void Leadership::UpdatePrimary(const Health& health) {
+void Leadership::UpdatePrimary(const HealthMonitor& health) {
   const DatabaseStatus* best = nullptr;
   for (const DatabaseSpec& spec : group_.databases) {
     const DatabaseStatus* status = health.status(spec.database);
@@ -72,97 +72,102 @@
     primary_.clear();
     return;
   }
-  if (best->adopted_term > term_) handover_until_.reset();
+  if (best->adopted_term > term_) handover_deadline_.reset();
   term_ = best->adopted_term;
   primary_ = best->database;
 }
 
-void Leadership::UpdateStray(TimePoint now, const Health& health) {
-  bool stray = primary_.empty();
+void Leadership::UpdateMissingPrimary(TimePoint now,
+                                      const HealthMonitor& health) {
+  bool missing = primary_.empty();
   const DatabaseStatus* primary = health.status(primary_);
   for (const DatabaseSpec& spec : group_.databases) {
     const DatabaseStatus* status = health.status(spec.database);
     if (status == nullptr || primary == nullptr) continue;
-    if (!health.reachable(now, spec.database)) continue;
-    stray = stray || status->adopted_term > term_ ||
-            (status->adopted_term == term_ &&
-             status->proposer != primary->proposer);
+    if (!health.IsReachable(now, spec.database)) continue;
+    missing = missing || status->adopted_term > term_ ||
+              (status->adopted_term == term_ &&
+               status->proposer != primary->proposer);
   }
-  if (!stray) {
-    stray_until_.reset();
-  } else if (!stray_until_) {
-    std::uniform_int_distribution<int> jitter(0, kStrayJitterMs);
-    stray_until_ =
-        now + kStrayGrace + std::chrono::milliseconds(jitter(random_));
+  if (!missing) {
+    missing_primary_deadline_.reset();
+  } else if (!missing_primary_deadline_) {
+    std::uniform_int_distribution<int> jitter(0, kMissingPrimaryJitterMs);
+    missing_primary_deadline_ =
+        now + kMissingPrimaryGrace + std::chrono::milliseconds(jitter(random_));
   }
 }
 
-void Leadership::UpdateProgress(TimePoint now, const Health& health,
-                                const Confirmation& confirmation) {
+void Leadership::UpdateProgress(TimePoint now, const HealthMonitor& health,
+                                const ConfirmationTracker& confirmation) {
   const DatabaseStatus* primary = health.status(primary_);
-  LogPosition best_replica;
+  LogPosition best_replica_position;
   for (const DatabaseSpec& spec : group_.databases) {
     const DatabaseStatus* status = health.status(spec.database);
     if (status == nullptr || spec.database == primary_) continue;
-    best_replica = std::max(best_replica, status->last);
+    best_replica_position = std::max(best_replica_position, status->last);
   }
-  const bool level =
+  const bool all_confirmed =
       primary == nullptr || primary->last <= confirmation.confirmed();
-  const bool moved = best_replica > best_replica_;
-  if (confirmation.confirmed() > confirmed_) doublings_ = 0;
+  const bool moved = best_replica_position > best_replica_position_;
+  if (confirmation.confirmed() > confirmed_) timeout_doublings_ = 0;
   confirmed_ = confirmation.confirmed();
-  best_replica_ = best_replica;
+  best_replica_position_ = best_replica_position;
   // Replicas that were away are given the whole time to confirm once they are
   // back; they would otherwise replace a primary that they are about to follow.
-  if (level || !OthersReachable(now, health)) {
-    progress_until_.reset();
-  } else if (!progress_until_ || moved) {
-    progress_until_ = now + timing_.unconfirmed_after * (1 << doublings_);
-    proof_wanted_ = true;
+  if (all_confirmed || !IsReplicaMajorityReachable(now, health)) {
+    progress_deadline_.reset();
+  } else if (!progress_deadline_ || moved) {
+    progress_deadline_ =
+        now + timing_.unconfirmed_after * (1 << timeout_doublings_);
+    replica_probe_pending_ = true;
   }
-  cut_off_ = progress_until_ && now >= *progress_until_ &&
-             StillBehind(*progress_until_, confirmation);
+  primary_partitioned_ = progress_deadline_ && now >= *progress_deadline_ &&
+                         IsStallConfirmed(*progress_deadline_, confirmation);
 }
 
-bool Leadership::StillBehind(TimePoint since,
-                             const Confirmation& confirmation) const {
-  const auto asked = std::count_if(
+bool Leadership::IsStallConfirmed(
+    TimePoint since, const ConfirmationTracker& confirmation) const {
+  const auto answered = std::count_if(
       group_.databases.begin(), group_.databases.end(),
       [this, since, &confirmation](const DatabaseSpec& spec) {
         return spec.database != primary_ &&
-               confirmation.HeardAt(spec.database, term_) >= since;
+               confirmation.LastContactAt(spec.database, term_) >= since;
       });
-  return static_cast<size_t>(asked) >= Majority(group_.databases.size());
+  return static_cast<size_t>(answered) >= Majority(group_.databases.size());
 }
 
-bool Leadership::TakeProofWanted(TimePoint now) {
-  if (!progress_until_ || now < *progress_until_ || !proof_wanted_) {
+bool Leadership::TakeReplicaProbeDue(TimePoint now) {
+  if (!progress_deadline_ || now < *progress_deadline_ ||
+      !replica_probe_pending_) {
     return false;
   }
-  proof_wanted_ = false;
+  replica_probe_pending_ = false;
   return true;
 }
 
-bool Leadership::majority_reachable(TimePoint now, const Health& health) const {
+bool Leadership::IsMajorityReachable(TimePoint now,
+                                     const HealthMonitor& health) const {
   const auto reachable =
       std::count_if(group_.databases.begin(), group_.databases.end(),
                     [now, &health](const DatabaseSpec& spec) {
-                      return health.reachable(now, spec.database);
+                      return health.IsReachable(now, spec.database);
                     });
   return static_cast<size_t>(reachable) >= Majority(group_.databases.size());
 }
 
-bool Leadership::OthersReachable(TimePoint now, const Health& health) const {
+bool Leadership::IsReplicaMajorityReachable(TimePoint now,
+                                            const HealthMonitor& health) const {
   const auto others =
       std::count_if(group_.databases.begin(), group_.databases.end(),
                     [this, now, &health](const DatabaseSpec& spec) {
                       return spec.database != primary_ &&
-                             health.reachable(now, spec.database);
+                             health.IsReachable(now, spec.database);
                     });
   return static_cast<size_t>(others) >= Majority(group_.databases.size());
 }
 
-bool Leadership::SuccessorLevel(const Health& health) const {
+bool Leadership::HasCaughtUpSuccessor(const HealthMonitor& health) const {
   const DatabaseStatus* primary = health.status(primary_);
   if (primary == nullptr) return true;
   return std::any_of(
@@ -174,67 +179,74 @@
       });
 }
 
-PromotionCause Leadership::Needs(TimePoint now, const Health& health,
-                                 bool quiet) const {
-  if (!majority_reachable(now, health)) return PromotionCause::kNone;
+PromotionCause Leadership::FindPromotionCause(TimePoint now,
+                                              const HealthMonitor& health,
+                                              bool primary_idle) const {
+  if (!IsMajorityReachable(now, health)) return PromotionCause::kNone;
   if (primary_.empty()) {
-    if (!health.settled(now)) return PromotionCause::kNone;
-    const bool due = stray_until_ && now >= *stray_until_;
+    if (!health.HasAssessedAll(now)) return PromotionCause::kNone;
+    const bool due =
+        missing_primary_deadline_ && now >= *missing_primary_deadline_;
     return due ? PromotionCause::kNoPrimary : PromotionCause::kNone;
   }
-  if (health.lost(now, primary_)) return PromotionCause::kPrimaryLost;
-  if (cut_off_) return PromotionCause::kPrimaryCutOff;
-  if (primary_leaving()) {
+  if (health.IsLost(now, primary_)) return PromotionCause::kPrimaryLost;
+  if (primary_partitioned_) return PromotionCause::kPrimaryPartitioned;
+  if (IsPrimaryLeaving()) {
     const bool successor = std::any_of(
         group_.databases.begin(), group_.databases.end(),
         [now, &health](const DatabaseSpec& spec) {
-          return !spec.leaving && health.reachable(now, spec.database);
+          return !spec.leaving && health.IsReachable(now, spec.database);
         });
-    const bool due = handover_until_ && now >= *handover_until_;
-    if (successor && (due || (quiet && SuccessorLevel(health)))) {
-      return PromotionCause::kLeaving;
+    const bool due = handover_deadline_ && now >= *handover_deadline_;
+    if (successor && (due || (primary_idle && HasCaughtUpSuccessor(health)))) {
+      return PromotionCause::kPrimaryLeaving;
     }
   }
-  if (stray_until_ && now >= *stray_until_) return PromotionCause::kStrayTerm;
+  if (missing_primary_deadline_ && now >= *missing_primary_deadline_) {
+    return PromotionCause::kTermWithoutPrimary;
+  }
   return PromotionCause::kNone;
 }
 
-std::vector<ProposalPeer> Leadership::Peers(TimePoint now, const Health& health,
-                                            PromotionCause cause) const {
-  const bool bar_primary = cause == PromotionCause::kPrimaryLost ||
-                           cause == PromotionCause::kPrimaryCutOff;
+std::vector<ProposalPeer> Leadership::MakeProposalPeers(
+    TimePoint now, const HealthMonitor& health, PromotionCause cause) const {
+  const bool exclude_primary = cause == PromotionCause::kPrimaryLost ||
+                               cause == PromotionCause::kPrimaryPartitioned;
   std::vector<ProposalPeer> peers;
   for (const DatabaseSpec& spec : group_.databases) {
     ProposalPeer peer;
     peer.database = spec.database;
-    const bool replaced = bar_primary && spec.database == primary_;
-    peer.expected = !replaced && health.reachable(now, spec.database);
-    peer.barred = replaced || spec.leaving;
+    const bool replaced = exclude_primary && spec.database == primary_;
+    peer.expected = !replaced && health.IsReachable(now, spec.database);
+    peer.ineligible = replaced || spec.leaving;
     peers.push_back(peer);
   }
-  const bool all_barred =
+  const bool all_ineligible =
       std::all_of(peers.begin(), peers.end(),
-                  [](const ProposalPeer& peer) { return peer.barred; });
+                  [](const ProposalPeer& peer) { return peer.ineligible; });
   for (ProposalPeer& peer : peers) {
     // Better a leaving primary than none.
-    if (all_barred) peer.barred = bar_primary && peer.database == primary_;
+    if (all_ineligible) {
+      peer.ineligible = exclude_primary && peer.database == primary_;
+    }
   }
   return peers;
 }
 
-void Leadership::Proposed(PromotionCause cause) {
-  stray_until_.reset();
-  handover_until_.reset();
-  progress_until_.reset();
-  cut_off_ = false;
-  if (cause == PromotionCause::kPrimaryCutOff) {
-    doublings_ = std::min(doublings_ + 1, kMaxDoublings);
+void Leadership::OnProposalStarted(PromotionCause cause) {
+  missing_primary_deadline_.reset();
+  handover_deadline_.reset();
+  progress_deadline_.reset();
+  primary_partitioned_ = false;
+  if (cause == PromotionCause::kPrimaryPartitioned) {
+    timeout_doublings_ = std::min(timeout_doublings_ + 1, kMaxTimeoutDoublings);
   }
 }
 
 TimePoint Leadership::next_deadline(TimePoint now) const {
   TimePoint next = TimePoint::max();
-  for (const auto& at : {stray_until_, progress_until_, handover_until_}) {
+  for (const auto& at :
+       {missing_primary_deadline_, progress_deadline_, handover_deadline_}) {
     if (at && *at > now) next = std::min(next, *at);
   }
   return next;
--- a/src/libcore/group/pool.cc
+++ b/src/libcore/group/pool.cc
@@ -7,39 +7,40 @@
 
 /// Pause after a refused connection. Another keeper may hold the rest of the
 /// limit; asking at once again would only load the database.
-constexpr std::chrono::milliseconds kOpenAgainAfter{100};
+constexpr std::chrono::milliseconds kReopenDelay{100};
 
 }  // namespace
 
-std::vector<PooledConnection> Pool::SetGroup(const GroupSpec& group,
-                                             std::vector<Action>* actions) {
+std::vector<PooledConnection> ConnectionPool::SetGroup(
+    const GroupSpec& group, std::vector<Action>* actions) {
   group_ = group;
-  std::map<std::string, Counts> kept;
+  std::map<std::string, Counts> retained;
   for (const DatabaseSpec& database : group.databases) {
-    kept[database.database] = counts_[database.database];
+    retained[database.database] = counts_[database.database];
   }
-  std::vector<ConnectionId> gone;
+  std::vector<ConnectionId> removed;
   for (const auto& [id, connection] : connections_) {
-    if (!kept.contains(connection.database)) gone.push_back(id);
+    if (!retained.contains(connection.database)) removed.push_back(id);
   }
   std::vector<PooledConnection> closed;
-  closed.reserve(gone.size());
-  for (const ConnectionId id : gone) closed.push_back(*Close(id, actions));
-  counts_ = std::move(kept);
+  closed.reserve(removed.size());
+  for (const ConnectionId id : removed) closed.push_back(*Close(id, actions));
+  counts_ = std::move(retained);
   return closed;
 }
 
-uint32_t Pool::usable() const {
+uint32_t ConnectionPool::usable_limit() const {
   if (group_.connection_limit <= group_.connection_reserve) return 1;
   return group_.connection_limit - group_.connection_reserve;
 }
 
-void Pool::Refill(TimePoint now, const std::string& database,
-                  std::vector<Action>* actions) {
+void ConnectionPool::Refill(TimePoint now, const std::string& database,
+                            std::vector<Action>* actions) {
   const auto it = counts_.find(database);
-  if (it == counts_.end() || it->second.open_again > now) return;
+  if (it == counts_.end() || it->second.reopen_at > now) return;
   Counts& counts = it->second;
-  while (counts.open < usable() && counts.open - counts.owned < group_.slots) {
+  while (counts.open < usable_limit() &&
+         counts.open - counts.owned < group_.slots) {
     const ConnectionId id = next_id_++;
     connections_[id].database = database;
     ++counts.open;
@@ -47,7 +48,7 @@
   }
 }
 
-void Pool::Opened(ConnectionId id) {
+void ConnectionPool::OnOpened(ConnectionId id) {
   const auto it = connections_.find(id);
   if (it == connections_.end()) return;
   if (it->second.state != ConnectionState::kOpening) return;
@@ -55,17 +56,18 @@
   idle_[it->second.database].push_back(id);
 }
 
-std::optional<PooledConnection> Pool::Lost(TimePoint now, ConnectionId id) {
+std::optional<PooledConnection> ConnectionPool::OnLost(TimePoint now,
+                                                       ConnectionId id) {
   const auto it = connections_.find(id);
   if (it == connections_.end()) return std::nullopt;
   PooledConnection lost = it->second;
   Remove(it);
-  counts_[lost.database].open_again = now + kOpenAgainAfter;
+  counts_[lost.database].reopen_at = now + kReopenDelay;
   return lost;
 }
 
-std::optional<PooledConnection> Pool::Close(ConnectionId id,
-                                            std::vector<Action>* actions) {
+std::optional<PooledConnection> ConnectionPool::Close(
+    ConnectionId id, std::vector<Action>* actions) {
   const auto it = connections_.find(id);
   if (it == connections_.end()) return std::nullopt;
   PooledConnection closed = it->second;
@@ -74,7 +76,8 @@
   return closed;
 }
 
-void Pool::Remove(std::map<ConnectionId, PooledConnection>::iterator it) {
+void ConnectionPool::Remove(
+    std::map<ConnectionId, PooledConnection>::iterator it) {
   Counts& counts = counts_[it->second.database];
   --counts.open;
   if (it->second.state == ConnectionState::kRunning) --counts.running;
@@ -85,7 +88,7 @@
   connections_.erase(it);
 }
 
-std::vector<ConnectionId> Pool::ConnectionsTo(
+std::vector<ConnectionId> ConnectionPool::ConnectionsTo(
     const std::string& database) const {
   std::vector<ConnectionId> ids;
   for (const auto& [id, connection] : connections_) {
@@ -94,26 +97,28 @@
   return ids;
 }
 
-std::optional<ConnectionId> Pool::IdleOn(const std::string& database) const {
+std::optional<ConnectionId> ConnectionPool::FindIdle(
+    const std::string& database) const {
   const auto it = idle_.find(database);
   if (it == idle_.end() || it->second.empty()) return std::nullopt;
   return it->second.back();
 }
 
-bool Pool::MayOwn(const std::string& database) const {
+bool ConnectionPool::CanBeginTransaction(const std::string& database) const {
   const auto it = counts_.find(database);
   if (it == counts_.end()) return false;
   // Plain statements keep a connection for each slot, or one when there are
   // too few for that; open transactions could otherwise shut them out.
-  const uint32_t plain = std::min(group_.slots, usable() - 1);
-  return it->second.owned + plain < usable();
+  const uint32_t for_statements = std::min(group_.slots, usable_limit() - 1);
+  return it->second.owned + for_statements < usable_limit();
 }
 
-bool Pool::HasSlot(const std::string& database) const {
-  return running(database) < group_.slots;
+bool ConnectionPool::HasFreeSlot(const std::string& database) const {
+  return running_count(database) < group_.slots;
 }
 
-void Pool::Run(ConnectionId id, RequestTag tag, const std::string& workspace) {
+void ConnectionPool::MarkRunning(ConnectionId id, RequestTag tag,
+                                 const std::string& workspace) {
   PooledConnection& connection = connections_.at(id);
   if (connection.state == ConnectionState::kIdle) {
     std::erase(idle_[connection.database], id);
@@ -124,7 +129,7 @@
   ++counts_[connection.database].running;
 }
 
-void Pool::Finish(ConnectionId id) {
+void ConnectionPool::MarkAnswered(ConnectionId id) {
   PooledConnection& connection = connections_.at(id);
   if (connection.state != ConnectionState::kRunning) return;
   --counts_[connection.database].running;
@@ -134,7 +139,7 @@
   if (!connection.owned) idle_[connection.database].push_back(id);
 }
 
-void Pool::SetOwned(ConnectionId id, bool owned) {
+void ConnectionPool::SetOwned(ConnectionId id, bool owned) {
   PooledConnection& connection = connections_.at(id);
   if (connection.owned == owned) return;
   connection.owned = owned;
@@ -149,25 +154,25 @@
   }
 }
 
-const PooledConnection* Pool::Find(ConnectionId id) const {
+const PooledConnection* ConnectionPool::Find(ConnectionId id) const {
   const auto it = connections_.find(id);
   return it == connections_.end() ? nullptr : &it->second;
 }
 
-uint32_t Pool::open(const std::string& database) const {
+uint32_t ConnectionPool::open_count(const std::string& database) const {
   const auto it = counts_.find(database);
   return it == counts_.end() ? 0 : it->second.open;
 }
 
-uint32_t Pool::running(const std::string& database) const {
+uint32_t ConnectionPool::running_count(const std::string& database) const {
   const auto it = counts_.find(database);
   return it == counts_.end() ? 0 : it->second.running;
 }
 
-TimePoint Pool::next_deadline(TimePoint now) const {
+TimePoint ConnectionPool::next_deadline(TimePoint now) const {
   TimePoint next = TimePoint::max();
   for (const auto& [database, counts] : counts_) {
-    if (counts.open_again > now) next = std::min(next, counts.open_again);
+    if (counts.reopen_at > now) next = std::min(next, counts.reopen_at);
   }
   return next;
 }
--- a/src/libcore/group/promotion.cc
+++ b/src/libcore/group/promotion.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// Doublings of the pause after failed proposals.
-constexpr int kMaxDoublings = 4;
+constexpr int kMaxBackoffDoublings = 4;
 
 }  // namespace
 
@@ -21,12 +21,12 @@
   highest_seen_ = std::max(highest_seen_, highest_term);
   term_ = std::max(highest_seen_, term_) + 1;
   phase_ = Phase::kAdopting;
-  phase_until_ = now + timing_.proposal_call;
+  phase_deadline_ = now + timing_.proposal_call;
   peers_.clear();
   promoted_.reset();
   for (ProposalPeer& peer : peers) {
     calls_.push_back(
-        {peer.database, AdoptCall{term_, proposer_}, phase_until_});
+        {peer.database, AdoptCall{term_, proposer_}, phase_deadline_});
     const std::string name = peer.database;
     peers_[name].peer = std::move(peer);
   }
@@ -37,7 +37,7 @@
   calls_.clear();
 }
 
-void Promotion::AdoptAnswered(TimePoint now, uint64_t term,
+void Promotion::OnAdoptAnswer(TimePoint now, uint64_t term,
                               const std::string& database,
                               const AdoptAnswer& answer) {
   highest_seen_ = std::max(highest_seen_, answer.status.adopted_term);
@@ -50,13 +50,13 @@
   Decide(now);
 }
 
-void Promotion::CallFailed(TimePoint now, uint64_t term,
-                           const std::string& database) {
+void Promotion::OnCallFailed(TimePoint now, uint64_t term,
+                             const std::string& database) {
   if (term != term_) return;
   if (phase_ == Phase::kPromoting && database == candidate_) {
     // The answer may be lost and the database be the primary already. To
     // promote again appends nothing, so the same call is repeated.
-    if (now < phase_until_) Promote(now);
+    if (now < phase_deadline_) Promote(now);
     return;
   }
   const auto it = peers_.find(database);
@@ -65,7 +65,7 @@
   Decide(now);
 }
 
-size_t Promotion::Holding(const LogPosition& last) const {
+size_t Promotion::CountAtOrBehind(const LogPosition& last) const {
   return static_cast<size_t>(
       std::count_if(peers_.begin(), peers_.end(), [&last](const auto& entry) {
         const auto& adopted = entry.second.adopted;
@@ -73,10 +73,10 @@
       }));
 }
 
-std::optional<std::string> Promotion::Candidate() const {
+std::optional<std::string> Promotion::ChooseCandidate() const {
   const Peer* best = nullptr;
   for (const auto& [name, peer] : peers_) {
-    if (!peer.adopted.has_value() || peer.peer.barred) continue;
+    if (!peer.adopted.has_value() || peer.peer.ineligible) continue;
     if (best == nullptr || peer.adopted->last > best->adopted->last) {
       best = &peer;
     }
@@ -86,13 +86,13 @@
   // acknowledged write is on a majority, so on one of these, so on the
   // candidate. Compared by the term of the last entry first: the longer log
   // may be the older one.
-  if (Holding(best->adopted->last) < Majority(peers_.size())) {
+  if (CountAtOrBehind(best->adopted->last) < Majority(peers_.size())) {
     return std::nullopt;
   }
   return best->peer.database;
 }
 
-bool Promotion::AllExpectedAnswered() const {
+bool Promotion::HaveAllExpectedAnswered() const {
   return std::all_of(peers_.begin(), peers_.end(), [](const auto& entry) {
     return entry.second.answered || !entry.second.peer.expected;
   });
@@ -101,24 +101,24 @@
 void Promotion::Decide(TimePoint now) {
   // Whoever is known to answer is waited for: the more of them, the fewer
   // unacknowledged writes are discarded.
-  if (!AllExpectedAnswered() && now < phase_until_) return;
-  const std::optional<std::string> candidate = Candidate();
+  if (!HaveAllExpectedAnswered() && now < phase_deadline_) return;
+  const std::optional<std::string> candidate = ChooseCandidate();
   if (!candidate.has_value()) {
-    if (AllExpectedAnswered() || now >= phase_until_) Fail(now);
+    if (HaveAllExpectedAnswered() || now >= phase_deadline_) Fail(now);
     return;
   }
   candidate_ = *candidate;
   phase_ = Phase::kPromoting;
-  phase_until_ = now + 2 * timing_.proposal_call;
+  phase_deadline_ = now + 2 * timing_.proposal_call;
   Promote(now);
 }
 
 void Promotion::Promote(TimePoint now) {
   calls_.push_back({candidate_, PromoteCall{term_, proposer_},
-                    std::min(phase_until_, now + timing_.proposal_call)});
+                    std::min(phase_deadline_, now + timing_.proposal_call)});
 }
 
-void Promotion::PromoteAnswered(TimePoint now, uint64_t term,
+void Promotion::OnPromoteAnswer(TimePoint now, uint64_t term,
                                 const RoleAnswer& answer) {
   highest_seen_ = std::max(highest_seen_, answer.status.adopted_term);
   if (phase_ != Phase::kPromoting || term != term_) return;
@@ -133,16 +133,16 @@
 
 void Promotion::Fail(TimePoint now) {
   phase_ = Phase::kIdle;
-  const int doublings = std::min(failures_++, kMaxDoublings);
+  const int doublings = std::min(failures_++, kMaxBackoffDoublings);
   const auto pause = timing_.proposal_retry * (1 << doublings);
   // Two proposers that collided would collide again after equal pauses.
   std::uniform_int_distribution<int64_t> jitter(pause.count() / 2,
                                                 pause.count() * 3 / 2);
-  not_before_ = now + std::chrono::milliseconds(jitter(random_));
+  next_attempt_at_ = now + std::chrono::milliseconds(jitter(random_));
 }
 
 void Promotion::Tick(TimePoint now) {
-  if (phase_ == Phase::kIdle || now < phase_until_) return;
+  if (phase_ == Phase::kIdle || now < phase_deadline_) return;
   if (phase_ == Phase::kAdopting) {
     Decide(now);
   } else {
@@ -158,13 +158,13 @@
   return std::exchange(promoted_, std::nullopt);
 }
 
-bool Promotion::ready(TimePoint now) const {
-  return phase_ == Phase::kIdle && now >= not_before_;
+bool Promotion::IsReady(TimePoint now) const {
+  return phase_ == Phase::kIdle && now >= next_attempt_at_;
 }
 
 TimePoint Promotion::next_deadline(TimePoint now) const {
-  if (phase_ != Phase::kIdle) return phase_until_;
-  return not_before_ > now ? not_before_ : TimePoint::max();
+  if (phase_ != Phase::kIdle) return phase_deadline_;
+  return next_attempt_at_ > now ? next_attempt_at_ : TimePoint::max();
 }
 
 }  // namespace ryefold::core::group
--- a/src/libcore/group/resolution.cc
+++ b/src/libcore/group/resolution.cc
@@ -5,42 +5,43 @@
 namespace ryefold::core::group {
 namespace {
 
-constexpr std::chrono::milliseconds kAskAgainAfter{50};
+constexpr std::chrono::milliseconds kSettleRetryInterval{50};
 
 }  // namespace
 
-void Resolution::Add(TimePoint now, RequestTag tag) {
-  Doubt doubt;
-  doubt.ask_at = now;
-  doubts_[tag] = doubt;
+void InDoubtResolver::Add(TimePoint now, RequestTag tag) {
+  InDoubtRequest request;
+  request.next_call = now;
+  requests_[tag] = request;
 }
 
-std::vector<RequestTag> Resolution::TakeDue(TimePoint now, uint64_t term) {
+std::vector<RequestTag> InDoubtResolver::TakeDueCalls(TimePoint now,
+                                                      uint64_t term) {
   std::vector<RequestTag> due;
-  for (auto& [tag, doubt] : doubts_) {
+  for (auto& [tag, request] : requests_) {
     // A newer primary is asked at once: the one before it is lost, and what it
     // was asked may never be answered.
-    const bool newer = term > doubt.asked_term;
-    if (!newer && (doubt.asked || doubt.ask_at > now)) continue;
-    doubt.asked = true;
-    doubt.asked_term = term;
+    const bool new_term = term > request.called_term;
+    if (!new_term && (request.in_flight || request.next_call > now)) continue;
+    request.in_flight = true;
+    request.called_term = term;
     due.push_back(tag);
   }
   return due;
 }
 
-void Resolution::AskAgain(TimePoint now, RequestTag tag) {
-  const auto it = doubts_.find(tag);
-  if (it == doubts_.end()) return;
-  it->second.asked = false;
-  it->second.ask_at = now + kAskAgainAfter;
+void InDoubtResolver::ScheduleRetry(TimePoint now, RequestTag tag) {
+  const auto it = requests_.find(tag);
+  if (it == requests_.end()) return;
+  it->second.in_flight = false;
+  it->second.next_call = now + kSettleRetryInterval;
 }
 
-TimePoint Resolution::next_deadline(TimePoint now) const {
+TimePoint InDoubtResolver::next_deadline(TimePoint now) const {
   TimePoint next = TimePoint::max();
-  for (const auto& [tag, doubt] : doubts_) {
-    if (!doubt.asked && doubt.ask_at > now) {
-      next = std::min(next, doubt.ask_at);
+  for (const auto& [tag, request] : requests_) {
+    if (!request.in_flight && request.next_call > now) {
+      next = std::min(next, request.next_call);
     }
   }
   return next;
--- a/src/libcore/group/transactions.cc
+++ b/src/libcore/group/transactions.cc
@@ -9,13 +9,14 @@
 
 /// A transaction whose caller sends nothing for this long is abandoned: its
 /// connection is closed, which makes the database roll it back.
-constexpr std::chrono::seconds kIdleLimit{10};
+constexpr std::chrono::seconds kIdleTimeout{10};
 
 }  // namespace
 
-Transaction& Transactions::Begin(TimePoint now, const std::string& workspace,
-                                 const std::string& database, uint64_t term,
-                                 ConnectionId connection) {
+Transaction& TransactionTable::Begin(TimePoint now,
+                                     const std::string& workspace,
+                                     const std::string& database, uint64_t term,
+                                     ConnectionId connection) {
   std::array<char, 17> nonce{};
   std::snprintf(nonce.data(), nonce.size(), "%016llx",
                 static_cast<unsigned long long>(random_()));
@@ -26,41 +27,42 @@
   transaction.database = database;
   transaction.term = term;
   transaction.connection = connection;
-  transaction.idle_until = now + kIdleLimit;
+  transaction.idle_deadline = now + kIdleTimeout;
   return open_[transaction.id] = transaction;
 }
 
-Transaction* Transactions::Find(const std::string& id,
-                                const std::string& workspace) {
+Transaction* TransactionTable::Find(const std::string& id,
+                                    const std::string& workspace) {
   const auto it = open_.find(id);
   if (it == open_.end() || it->second.workspace != workspace) return nullptr;
   return &it->second;
 }
 
-std::string Transactions::OwnerOf(ConnectionId connection) const {
+std::string TransactionTable::FindOwner(ConnectionId connection) const {
   for (const auto& [id, transaction] : open_) {
     if (transaction.connection == connection) return id;
   }
   return {};
 }
 
-void Transactions::SetRunning(TimePoint now, Transaction* transaction,
-                              bool running) const {
+void TransactionTable::SetRunning(TimePoint now, Transaction* transaction,
+                                  bool running) const {
   transaction->running = running;
-  transaction->idle_until = now + kIdleLimit;
+  transaction->idle_deadline = now + kIdleTimeout;
 }
 
-std::vector<Transaction> Transactions::Idle(TimePoint now) const {
+std::vector<Transaction> TransactionTable::FindAbandoned(TimePoint now) const {
   std::vector<Transaction> idle;
   for (const auto& [id, transaction] : open_) {
-    if (!transaction.running && transaction.idle_until <= now) {
+    if (!transaction.running && transaction.idle_deadline <= now) {
       idle.push_back(transaction);
     }
   }
   return idle;
 }
 
-std::vector<Transaction> Transactions::On(const std::string& database) const {
+std::vector<Transaction> TransactionTable::FindOn(
+    const std::string& database) const {
   std::vector<Transaction> found;
   for (const auto& [id, transaction] : open_) {
     if (database.empty() || transaction.database == database) {
@@ -70,10 +72,10 @@
   return found;
 }
 
-TimePoint Transactions::next_deadline() const {
+TimePoint TransactionTable::next_deadline() const {
   TimePoint next = TimePoint::max();
   for (const auto& [id, transaction] : open_) {
-    if (!transaction.running) next = std::min(next, transaction.idle_until);
+    if (!transaction.running) next = std::min(next, transaction.idle_deadline);
   }
   return next;
 }
--- a/testsuite/group_outcomes/confirmation_test.cc
+++ b/testsuite/group_outcomes/confirmation_test.cc
@@ -21,19 +21,19 @@
   return status;
 }
 
-Confirmation OfThree() {
-  Confirmation confirmation;
+ConfirmationTracker OfThree() {
+  ConfirmationTracker confirmation;
   confirmation.SetDatabases({"a", "b", "c"});
   return confirmation;
 }
 
 TEST(Confirmation, AWriteIsKeptOnceAReplicaHoldsItToo) {
-  Confirmation confirmation = OfThree();
-  confirmation.Saw("a", Status("a", 1, {{1, 1}}, {1, 5}), kSent);
-  EXPECT_EQ(confirmation.Judge({1, 5}), Verdict::kPending);
-  confirmation.Saw("b", Status("b", 1, {{1, 1}}, {1, 4}), kSent);
-  EXPECT_EQ(confirmation.Judge({1, 4}), Verdict::kKept);
-  EXPECT_EQ(confirmation.Judge({1, 5}), Verdict::kPending);
+  ConfirmationTracker confirmation = OfThree();
+  confirmation.RecordStatus("a", Status("a", 1, {{1, 1}}, {1, 5}), kSent);
+  EXPECT_EQ(confirmation.ClassifyEntry({1, 5}), LogEntryState::kPending);
+  confirmation.RecordStatus("b", Status("b", 1, {{1, 1}}, {1, 4}), kSent);
+  EXPECT_EQ(confirmation.ClassifyEntry({1, 4}), LogEntryState::kConfirmed);
+  EXPECT_EQ(confirmation.ClassifyEntry({1, 5}), LogEntryState::kPending);
 }
 
 // A write of term 2 was made by a primary that reached nobody. The database
@@ -41,33 +41,38 @@
 // lies below the start of term 3, in a log that never held the write. By the
 // index alone its caller would be told "done".
 TEST(Confirmation, AnIndexBelowTheNewTermIsNotEnoughToBeKept) {
-  Confirmation confirmation = OfThree();
+  ConfirmationTracker confirmation = OfThree();
   const std::vector<TermStart> starts = {{1, 1}, {3, 9}};
-  confirmation.Saw("b", Status("b", 3, starts, {3, 9}), kSent);
-  confirmation.Saw("c", Status("c", 3, starts, {3, 9}), kSent);
-  EXPECT_EQ(confirmation.Judge({2, 6}), Verdict::kDiscarded);
-  EXPECT_EQ(confirmation.Judge({1, 6}), Verdict::kKept);
+  confirmation.RecordStatus("b", Status("b", 3, starts, {3, 9}), kSent);
+  confirmation.RecordStatus("c", Status("c", 3, starts, {3, 9}), kSent);
+  EXPECT_EQ(confirmation.ClassifyEntry({2, 6}), LogEntryState::kDiscarded);
+  EXPECT_EQ(confirmation.ClassifyEntry({1, 6}), LogEntryState::kConfirmed);
 }
 
 // The new primary's log shows a write as discarded. Until a second database
 // has an entry of the new term, a third term can still bring the write back.
 TEST(Confirmation, ANewTermOnOneDatabaseDecidesNothing) {
-  Confirmation confirmation = OfThree();
-  confirmation.Saw("b", Status("b", 2, {{1, 1}, {2, 5}}, {2, 5}), kSent);
-  confirmation.Saw("c", Status("c", 2, {{1, 1}}, {1, 4}), kSent);
-  EXPECT_EQ(confirmation.Judge({1, 7}), Verdict::kPending);
-  confirmation.Saw("c", Status("c", 2, {{1, 1}, {2, 5}}, {2, 5}), kSent);
-  EXPECT_EQ(confirmation.Judge({1, 7}), Verdict::kDiscarded);
+  ConfirmationTracker confirmation = OfThree();
+  confirmation.RecordStatus("b", Status("b", 2, {{1, 1}, {2, 5}}, {2, 5}),
+                            kSent);
+  confirmation.RecordStatus("c", Status("c", 2, {{1, 1}}, {1, 4}), kSent);
+  EXPECT_EQ(confirmation.ClassifyEntry({1, 7}), LogEntryState::kPending);
+  confirmation.RecordStatus("c", Status("c", 2, {{1, 1}, {2, 5}}, {2, 5}),
+                            kSent);
+  EXPECT_EQ(confirmation.ClassifyEntry({1, 7}), LogEntryState::kDiscarded);
 }
 
 // A majority holds an entry of an older term, but one database has an entry of
 // a newer term without it and can still be promoted over both.
 TEST(Confirmation, EntriesOfAnOlderTermAreNotCountedByThemselves) {
-  Confirmation confirmation = OfThree();
-  confirmation.Saw("c", Status("c", 3, {{1, 1}, {3, 5}}, {3, 5}), kSent);
-  confirmation.Saw("a", Status("a", 3, {{1, 1}, {2, 5}}, {2, 6}), kSent);
-  confirmation.Saw("b", Status("b", 3, {{1, 1}, {2, 5}}, {2, 6}), kSent);
-  EXPECT_EQ(confirmation.Judge({2, 6}), Verdict::kPending);
+  ConfirmationTracker confirmation = OfThree();
+  confirmation.RecordStatus("c", Status("c", 3, {{1, 1}, {3, 5}}, {3, 5}),
+                            kSent);
+  confirmation.RecordStatus("a", Status("a", 3, {{1, 1}, {2, 5}}, {2, 6}),
+                            kSent);
+  confirmation.RecordStatus("b", Status("b", 3, {{1, 1}, {2, 5}}, {2, 6}),
+                            kSent);
+  EXPECT_EQ(confirmation.ClassifyEntry({2, 6}), LogEntryState::kPending);
 }
 
 // The databases' last entries are of different terms, and the longer log is
@@ -80,9 +85,9 @@
   const uint64_t term = promotion.term();
   EXPECT_EQ(term, 4u);
   AdoptAnswer answer{true, Status("b", term, {{1, 1}}, {1, 90})};
-  promotion.AdoptAnswered(now, term, "b", answer);
+  promotion.OnAdoptAnswer(now, term, "b", answer);
   answer.status = Status("c", term, {{1, 1}, {3, 50}}, {3, 60});
-  promotion.AdoptAnswered(now, term, "c", answer);
+  promotion.OnAdoptAnswer(now, term, "c", answer);
   const auto calls = promotion.TakeCalls();
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_EQ(calls.front().database, "c");
@@ -96,14 +101,14 @@
   promotion.Start(now, 3, {{"a"}, {"b"}, {"c"}});
   promotion.TakeCalls();
   const uint64_t term = promotion.term();
-  promotion.AdoptAnswered(now, term, "a",
+  promotion.OnAdoptAnswer(now, term, "a",
                           {true, Status("a", term, {{1, 1}}, {1, 9})});
-  promotion.AdoptAnswered(now, term, "b",
+  promotion.OnAdoptAnswer(now, term, "b",
                           {false, Status("b", term + 1, {{1, 1}}, {1, 9})});
-  promotion.AdoptAnswered(now, term, "c",
+  promotion.OnAdoptAnswer(now, term, "c",
                           {false, Status("c", term + 1, {{1, 1}}, {1, 9})});
   EXPECT_TRUE(promotion.TakeCalls().empty());
-  EXPECT_FALSE(promotion.ready(now));
+  EXPECT_FALSE(promotion.IsReady(now));
   promotion.Start(now + std::chrono::seconds(1), 3, {{"a"}, {"b"}, {"c"}});
   EXPECT_EQ(promotion.term(), term + 2);
 }
@@ -116,12 +121,12 @@
   promotion.Start(now, 1, {{"a", false, true}, {"b"}, {"c"}});
   promotion.TakeCalls();
   const uint64_t term = promotion.term();
-  promotion.AdoptAnswered(now, term, "a",
+  promotion.OnAdoptAnswer(now, term, "a",
                           {true, Status("a", term, {{1, 1}}, {1, 20})});
-  promotion.AdoptAnswered(now, term, "b",
+  promotion.OnAdoptAnswer(now, term, "b",
                           {true, Status("b", term, {{1, 1}}, {1, 9})});
   EXPECT_TRUE(promotion.TakeCalls().empty());
-  promotion.AdoptAnswered(now, term, "c",
+  promotion.OnAdoptAnswer(now, term, "c",
                           {true, Status("c", term, {{1, 1}}, {1, 8})});
   const auto calls = promotion.TakeCalls();
   ASSERT_EQ(calls.size(), 1u);
@@ -136,9 +141,9 @@
   promotion.Start(now, 1, {{"a", true, true}, {"b"}, {"c", false}});
   promotion.TakeCalls();
   const uint64_t term = promotion.term();
-  promotion.AdoptAnswered(now, term, "a",
+  promotion.OnAdoptAnswer(now, term, "a",
                           {true, Status("a", term, {{1, 1}}, {1, 20})});
-  promotion.AdoptAnswered(now, term, "b",
+  promotion.OnAdoptAnswer(now, term, "b",
                           {true, Status("b", term, {{1, 1}}, {1, 9})});
   EXPECT_TRUE(promotion.TakeCalls().empty());
 }
