--- a/src/include/ryefold/core/group/calls.h
+++ b/src/include/ryefold/core/group/calls.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Control calls that are waiting for their answers.
+// Table of control calls in flight.
 
 #include <cstdint>
 #include <map>
@@ -14,15 +14,15 @@
 
 /// Why a control call was made.
 enum class CallPurpose : uint8_t {
-  kStatus,  ///< The status call that waits inside a database.
-  kProbe,   ///< An immediate one, part of a round that vouches for the term.
+  kStatus,  ///< Long-polling status call of the health monitor.
+  kProbe,   ///< Immediate status call, also used for heartbeat rounds.
   kAdopt,
   kPromote,
   kFollow,
   kSettle,
 };
 
-/// One control call without an answer yet.
+/// A control call in flight.
 struct PendingCall {
   std::string database;
   CallPurpose purpose = CallPurpose::kStatus;
@@ -30,23 +30,24 @@
   TimePoint deadline;
   /// Term of an adopt, promote, follow or settle call.
   uint64_t term = 0;
-  /// Request that a settle call is made for.
+  /// Request that a settle call resolves.
   RequestTag tag = 0;
 };
 
-/// Table of unanswered control calls. An answer to a call that is not in the
-/// table any more came too late and is dropped, so a call that was given up
-/// can never be answered twice.
+/// Control calls in flight, by id. A call leaves the table when it is answered
+/// or expires; answers to calls that are no longer in it are dropped, so no
+/// call completes twice.
 class CallTable {
  public:
-  /// Records the call and appends it to `actions`.
+  /// Registers the call and appends the matching `Control` action to `actions`.
   void Send(PendingCall call, ControlCall request,
             std::vector<Action>* actions);
 
-  /// Removes and returns the call, nothing when it was given up before.
+  /// Removes and returns the call. Returns nullopt if it has expired or is
+  /// unknown.
   std::optional<PendingCall> Take(CallId id);
 
-  /// Removes and returns every call whose deadline has come.
+  /// Removes and returns every call whose deadline has passed.
   std::vector<PendingCall> TakeExpired(TimePoint now);
 
   void Clear() { calls_.clear(); }
--- a/src/include/ryefold/core/group/confirmation.h
+++ b/src/include/ryefold/core/group/confirmation.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What a majority of the group is known to hold, and until when it is known to
-// have held to a term.
+// Tracks which log entries a majority of the group holds, and when a majority
+// last confirmed a term.
 
 #include <map>
 #include <string>
@@ -11,41 +11,45 @@
 
 namespace ryefold::core::group {
 
-/// What the known positions tell about one entry.
+/// Whether a log entry is durable, as far as the known positions show.
 enum class LogEntryState : uint8_t {
-  kPending,    ///< Not known yet.
-  kConfirmed,  ///< Held by a majority: no promotion can lose it.
-  kDiscarded,  ///< A promotion discarded it and a majority holds the newer
-               ///< term's first entry: it can never come back.
+  kPending,    ///< Not decided yet.
+  kConfirmed,  ///< Held by a majority: no promotion can discard it.
+  kDiscarded,  ///< Discarded by a promotion, and a majority holds the first
+               ///< entry of the newer term: it cannot reappear.
 };
 
-/// Collects the databases' positions. Nothing here is ever taken back: what a
+/// Collects log positions from the databases and derives the confirmed position
+/// (the commit index in Raft's terms). The state only moves forward: what a
 /// database held under a term, it held before it adopted a later one, so every
-/// later majority contains a database that has it.
+/// later majority contains a database that holds it.
 class ConfirmationTracker {
  public:
   void SetDatabases(const std::vector<std::string>& names);
 
-  /// `database` answered a call that was sent at `sent`.
+  /// Records the status with which `database` answered a call sent at `sent`.
   void RecordStatus(const std::string& database, const DatabaseStatus& status,
                     TimePoint sent);
 
-  /// The primary of `position.term` has written `position`.
+  /// Records that `database`, the primary of `position.term`, has written
+  /// `position`.
   void RecordWrite(const std::string& database, const LogPosition& position);
 
-  /// Highest entry of the newest term that a majority is known to hold; its
-  /// term is that term. Entries of older terms are never counted by
-  /// themselves: a majority can hold one and a later promotion still drop it,
-  /// unless an entry of the newer term stands on top (as in Raft).
+  /// Returns the highest entry of the newest term that a majority holds.
+  /// Entries of older terms are not counted by themselves: even if a majority
+  /// holds one, a later promotion can discard it unless an entry of the newer
+  /// term follows it (as in Raft).
   const LogPosition& confirmed() const { return confirmed_; }
 
   LogEntryState ClassifyEntry(const LogPosition& position) const;
 
-  /// Latest time at which a majority is known to have had `term` as their
-  /// adopted one, so that no later term had a primary; the epoch if never.
+  /// Returns the latest time at which a majority had `term` as its adopted
+  /// term, so that no later term had a primary. Returns the epoch if there was
+  /// none.
   TimePoint TermConfirmedAt(uint64_t term) const;
 
-  /// When the call was sent that last heard from `database` under `term`.
+  /// Returns when the latest call was sent that `database` answered under
+  /// `term`. Returns the epoch if there was none.
   TimePoint LastContactAt(const std::string& database, uint64_t term) const;
 
  private:
@@ -57,11 +61,11 @@
   void AdvanceConfirmed();
 
   std::map<std::string, DatabaseRecord> databases_;
-  /// Term starts of the newest term seen in a log, with that term's own start
-  /// as the last one.
+  /// Term starts of the newest term seen in any log; the last one is the start
+  /// of that term itself.
   std::vector<TermStart> newest_starts_;
   LogPosition newest_last_;
-  /// Term starts of the log that `confirmed_` belongs to.
+  /// Term starts of the log that contains `confirmed_`.
   std::vector<TermStart> confirmed_starts_;
   LogPosition confirmed_;
 };
--- a/src/include/ryefold/core/group/following.h
+++ b/src/include/ryefold/core/group/following.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Has every database that is not the primary follow it.
+// Makes every replica follow the primary.
 
 #include <map>
 #include <string>
@@ -10,19 +10,20 @@
 
 namespace ryefold::core::group {
 
-/// Sends the follow call to each replica once per term, and again when the
-/// replica is behind and does not move. A proposer that dies after promoting
-/// tells nobody whom to follow; a database that was down comes back under an
-/// old term. Either would otherwise never confirm anything again.
+/// Decides when to send follow calls: to each replica once per term, and again
+/// if the replica lags and makes no progress. A proposer can crash after the
+/// promote call and before the follow calls, and a restarted database comes
+/// back under an old term; without a repeated call, neither replica would ever
+/// confirm a write again.
 class FollowScheduler {
  public:
-  /// Whether `replica` has to be told now to follow the primary; counts as
-  /// told when true.
+  /// Returns whether a follow call to `replica` is due, and if so records it as
+  /// sent.
   bool MarkSentIfDue(TimePoint now, const DatabaseStatus& primary,
                      const DatabaseStatus& replica);
-  /// The call failed.
+  /// Makes a follow call due again after the last one failed.
   void OnCallFailed(const std::string& replica) { sent_calls_.erase(replica); }
-  /// When a replica that stands still may be told again.
+  /// Returns when a replica without progress is due for another call.
   TimePoint next_deadline(TimePoint now) const;
 
  private:
--- a/src/include/ryefold/core/group/health.h
+++ b/src/include/ryefold/core/group/health.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Whether the databases of a group answer, learnt from status calls that wait
-// inside them.
+// Failure detector for the databases of a group, based on long-polling status
+// calls.
 
 #include <map>
 #include <string>
@@ -18,46 +18,50 @@
   TimePoint deadline;
 };
 
-/// Watches each database by one status call at a time. Only silence of these
-/// calls makes a database lost: a statement that stalls says nothing, since a
-/// promotion would not make the same statement faster.
+/// Monitors each database with one long-polling status call at a time. Only a
+/// missing answer to these calls makes a database lost. A stalled statement
+/// does not: a promotion would not make the same statement faster.
 class HealthMonitor {
  public:
   explicit HealthMonitor(KeeperTiming timing) : timing_(timing) {}
 
-  /// Databases to watch from now on; those new are polled at once.
+  /// Replaces the set of monitored databases; a new one is polled at once.
   void SetDatabases(TimePoint now, const std::vector<std::string>& names);
 
-  /// Status calls to make now; they count as made.
+  /// Returns the status calls that are due and marks them as in flight.
   std::vector<DueStatusCall> TakeDueCalls(TimePoint now);
 
-  /// Databases that came into doubt and have to be asked at once, beside the
-  /// waiting call, which would hide for its whole wait that they are well.
+  /// Returns the suspected databases to probe immediately. Their long poll is
+  /// in flight and would not return before its wait is over, even if they are
+  /// healthy.
   std::vector<std::string> TakeProbes();
 
-  /// A status arrived, by the waiting call (`waited`) or by another.
+  /// Records a status received from the long poll (`long_poll`) or from any
+  /// other call.
   void RecordStatus(TimePoint now, const std::string& database,
                     const DatabaseStatus& status, bool long_poll);
 
-  /// The waiting call failed: `refused` when the connection was refused or
-  /// reset, otherwise no answer came in time.
+  /// Records that the long poll failed: `refused` if the connection was refused
+  /// or reset, otherwise the call timed out.
   void RecordFailure(TimePoint now, const std::string& database, bool refused);
 
-  /// A statement connection broke or a call was refused for its term: what is
-  /// known of the database is doubted until it has answered again.
+  /// Marks a database as suspected, after a statement connection broke or the
+  /// database refused a call because of its term. Its last status may be stale,
+  /// and it stays suspected until it answers again.
   void MarkSuspected(TimePoint now, const std::string& database);
 
-  /// Silent for too long, or refusing connections.
+  /// Returns whether the database has not answered for `lost_after` or keeps
+  /// refusing connections.
   bool IsLost(TimePoint now, const std::string& database) const;
-  /// Has answered and is not lost.
+  /// Returns whether the database has answered and is not lost.
   bool IsReachable(TimePoint now, const std::string& database) const;
   bool IsSuspected(const std::string& database) const;
-  /// Last status heard, null when there was none yet.
+  /// Returns the last status received, or null if there is none.
   const DatabaseStatus* status(const std::string& database) const;
-  /// Whether every database has either answered or turned out lost.
+  /// Returns whether every database has either answered or become lost.
   bool HasAssessedAll(TimePoint now) const;
 
-  /// When a call is due or a database may turn lost.
+  /// Returns when the next call is due or the next database may become lost.
   TimePoint next_deadline(TimePoint now) const;
 
  private:
@@ -68,7 +72,7 @@
     bool suspected = false;
     int consecutive_refusals = 0;
     TimePoint next_poll;
-    /// Silence until then makes it lost.
+    /// When the database becomes lost unless it answers before.
     TimePoint lost_at;
   };
   const MonitoredDatabase* Find(const std::string& database) const;
--- a/src/include/ryefold/core/group/keeper.h
+++ b/src/include/ryefold/core/group/keeper.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// The keeper of one database group: holds its scarce connections, its queue
-// and its view of positions, orders promotions, confirms writes.
+// The keeper of a database group holds the connections to its databases, queues
+// and routes statements, tracks log positions, confirms writes and orders
+// promotions.
 
 #include <cstdint>
 #include <memory>
@@ -16,14 +17,14 @@
 
 namespace ryefold::core::group {
 
-/// Names a request towards whoever handed it in.
+/// Identifies a request; assigned by the host that submits it.
 using RequestTag = uint64_t;
-/// Names one statement connection; chosen by the keeper, never reused.
+/// Identifies a statement connection; assigned by the keeper and never reused.
 using ConnectionId = uint64_t;
-/// Names one control call; chosen by the keeper, never reused.
+/// Identifies a control call; assigned by the keeper and never reused.
 using CallId = uint64_t;
 
-// ---- events: what the keeper is told ----
+// ---- events: inputs of the keeper ----
 
 struct RequestArrived {
   RequestTag tag = 0;
@@ -33,14 +34,14 @@
   RequestTag tag = 0;
   SettleRequest request;
 };
-/// Whoever handed the request in no longer wants an answer.
+/// The submitter of the request no longer needs an answer.
 struct RequestAbandoned {
   RequestTag tag = 0;
 };
 struct ConnectionOpened {
   ConnectionId connection = 0;
 };
-/// Refused, reset, or closed by the other side.
+/// The connection was refused, reset, or closed by the database.
 struct ConnectionLost {
   ConnectionId connection = 0;
 };
@@ -52,17 +53,17 @@
   CallId call = 0;
   ControlAnswer answer;
 };
-/// New limits, databases, leaving marks or workspaces are in force.
+/// The limits, the databases, their leaving marks or the workspaces changed.
 struct PolicyChanged {
   GroupSpec group;
   std::vector<WorkspacePolicy> workspaces;
 };
-/// Another instance is the intended keeper and has answered: finish what is
-/// open, take nothing new, give the connections back.
+/// Another instance is the intended keeper and responds: finish open work,
+/// accept no new requests and close the connections.
 struct StepDown {};
-/// This instance is the intended keeper (again).
+/// This instance is the intended keeper, possibly again.
 struct StepUp {};
-/// Time has passed; due deadlines are looked at on every event as well.
+/// Time has passed. Every other event processes due deadlines as well.
 struct Tick {};
 
 using Event =
@@ -70,7 +71,7 @@
                  ConnectionOpened, ConnectionLost, ExecuteReturned,
                  ControlReturned, PolicyChanged, StepDown, StepUp, Tick>;
 
-// ---- actions: what the keeper wants done ----
+// ---- actions: outputs of the keeper ----
 
 struct Respond {
   RequestTag tag = 0;
@@ -80,16 +81,17 @@
   ConnectionId connection = 0;
   std::string database;
 };
-/// Close at once; whatever is still unanswered on it is dropped.
+/// Close the connection at once; an answer still in flight on it is dropped.
 struct CloseConnection {
   ConnectionId connection = 0;
 };
-/// At most one call is unanswered on a connection at any time.
+/// Send a call; a connection has at most one call in flight.
 struct Execute {
   ConnectionId connection = 0;
   ExecuteCall call;
 };
-/// The answer (or its absence) is due by `deadline`.
+/// Send a control call. `ControlReturned` is expected by `deadline`, with or
+/// without an answer.
 struct Control {
   CallId call = 0;
   std::string database;
@@ -100,7 +102,7 @@
 using Action =
     std::variant<Respond, OpenConnection, CloseConnection, Execute, Control>;
 
-/// Counters and gauges of one keeper, for /metrics and `ryefoldctl status`.
+/// Counters and gauges of a keeper, for /metrics and `ryefoldctl status`.
 struct DatabaseView {
   std::string database;
   bool reachable = false;
@@ -108,7 +110,7 @@
   bool leaving = false;
   uint64_t adopted_term = 0;
   LogPosition last;
-  /// Time since the replica was last known level with the primary.
+  /// Time since the replica was last known to have caught up with the primary.
   std::chrono::milliseconds lag{0};
   uint32_t connections = 0;
   uint32_t running = 0;
@@ -128,44 +130,46 @@
   std::vector<DatabaseView> databases;
 };
 
-/// Timing of failure detection and retries. Durations are settings; the state
-/// keeps deadlines worked out from them.
+/// Timing of failure detection and retries, from the settings.
 struct KeeperTiming {
-  /// How long a status call may wait inside a database.
+  /// How long a status call may wait inside a database for a change.
   std::chrono::milliseconds status_wait{500};
-  /// A status call unanswered this long after its due time counts as a miss.
+  /// A status call counts as failed when it has no answer this long after its
+  /// wait.
   std::chrono::milliseconds status_grace{1100};
-  /// Silence after which a database is taken for lost. Has to exceed
+  /// A database without an answer for this long is lost. Has to exceed
   /// `status_wait` by the longest round trip that must not cause a promotion.
   std::chrono::milliseconds lost_after{1600};
-  /// A primary whose writes no replica confirms for this long, though replicas
-  /// answer, is taken for cut off from them.
+  /// A primary whose writes are unconfirmed for this long, while its replicas
+  /// answer, counts as partitioned from them.
   std::chrono::milliseconds unconfirmed_after{1100};
-  /// Time a proposer waits before it tries again, doubled with jitter.
+  /// Backoff of a proposer after a failed proposal; doubled each time, with
+  /// jitter.
   std::chrono::milliseconds proposal_retry{100};
-  /// Time allowed for one adopt, promote or follow call.
+  /// Timeout of an adopt, promote or follow call.
   std::chrono::milliseconds proposal_call{500};
 };
 
 /// State machine of one group's keeper. Not thread-safe; owned by one task.
 class Keeper {
  public:
-  /// `proposer` names this instance towards the databases; `near` is the
-  /// failure domain reads prefer; `seed` feeds the jitter.
+  /// `proposer` names this instance to the databases; `preferred_domain` is
+  /// the failure domain preferred for reads; `seed` seeds the jitter.
   Keeper(GroupSpec group, std::vector<WorkspacePolicy> workspaces,
-         std::string proposer, std::string near, KeeperTiming timing,
-         uint64_t seed);
+         std::string proposer, std::string preferred_domain,
+         KeeperTiming timing, uint64_t seed);
   ~Keeper();
   Keeper(const Keeper&) = delete;
   Keeper& operator=(const Keeper&) = delete;
 
-  /// Takes one event and appends what has to be done to `actions`.
+  /// Processes one event and appends the resulting actions to `actions`.
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions);
 
-  /// When `Tick` is due at the latest.
+  /// Returns the latest time at which the next `Tick` is due.
   TimePoint next_deadline() const;
 
-  /// True once a keeper told to step down holds nothing any more.
+  /// Returns whether the keeper has stepped down and released all its
+  /// connections.
   bool idle() const;
 
   KeeperView view(TimePoint now) const;
--- a/src/include/ryefold/core/group/leadership.h
+++ b/src/include/ryefold/core/group/leadership.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Which database is the primary, and whether the group needs a new one.
+// Tracks which database is the primary and decides when the group needs a new
+// one.
 
 #include <optional>
 #include <random>
@@ -16,14 +17,15 @@
 /// Why a new term is needed.
 enum class PromotionCause : uint8_t {
   kNone,
-  kNoPrimary,           ///< Nobody is the primary of the newest term.
-  kPrimaryLost,         ///< The primary is silent or refuses connections.
-  kPrimaryPartitioned,  ///< No replica confirms, though replicas answer.
+  kNoPrimary,           ///< No database is the primary of the newest term.
+  kPrimaryLost,         ///< The primary does not answer or refuses connections.
+  kPrimaryPartitioned,  ///< Replicas answer, but none confirms writes.
   kTermWithoutPrimary,  ///< A database adopted a term that has no primary.
-  kPrimaryLeaving,      ///< The primary is leaving and its successor is level.
+  kPrimaryLeaving,      ///< The primary is leaving and is due to be replaced.
 };
 
-/// Reads the primary off the statuses and decides when it has to be replaced.
+/// Derives the primary from the databases' statuses and decides when it has to
+/// be replaced.
 class Leadership {
  public:
   Leadership(KeeperTiming timing, uint64_t seed)
@@ -31,49 +33,53 @@
 
   void SetGroup(TimePoint now, const GroupSpec& group);
 
-  /// Looks at the statuses again.
+  /// Re-evaluates the statuses.
   void Update(TimePoint now, const HealthMonitor& health,
               const ConfirmationTracker& confirmation);
 
-  /// The primary of the newest term that has one; empty when there is none or
-  /// when a majority has adopted a later term.
+  /// Returns the primary of the newest term that has one. Empty if there is
+  /// none or a majority has adopted a later term.
   const std::string& primary() const { return primary_; }
   uint64_t term() const { return term_; }
-  /// Highest term that any database has adopted.
+  /// Returns the highest term that any database has adopted.
   uint64_t highest_term() const { return highest_term_; }
 
-  /// Whether a new term is needed now. `quiet` tells that nothing runs on the
-  /// primary any more, which a planned change waits for.
+  /// Returns why a new term is needed now, or kNone. `primary_idle`: no
+  /// statement or transaction is open on the primary, which a planned handover
+  /// waits for.
   PromotionCause FindPromotionCause(TimePoint now, const HealthMonitor& health,
                                     bool primary_idle) const;
 
-  /// The databases as a proposal for `cause` sees them.
+  /// Returns the databases with their parts in a proposal for `cause`.
   std::vector<ProposalPeer> MakeProposalPeers(TimePoint now,
                                               const HealthMonitor& health,
                                               PromotionCause cause) const;
 
-  /// A proposal for `cause` has begun.
+  /// Resets the deadlines when a proposal for `cause` starts.
   void OnProposalStarted(PromotionCause cause);
 
-  /// Whether the replicas have to be asked at once whether they still stand
-  /// where they did, since the primary is suspected of being cut off. A status
-  /// on a slow network may be a second old: only one that was asked for after
-  /// the suspicion can confirm it. True once for each suspicion.
+  /// Returns true, once per suspicion, when the primary is suspected of being
+  /// partitioned and its replicas have to be probed. On a slow network a status
+  /// can be a second old, so only one requested after the suspicion can confirm
+  /// it.
   bool TakeReplicaProbeDue(TimePoint now);
 
   bool IsPrimaryLeaving() const;
-  /// Whether a majority answers, so that a new primary is possible at all.
+  /// Returns whether a majority is reachable, without which no promotion is
+  /// possible.
   bool IsMajorityReachable(TimePoint now, const HealthMonitor& health) const;
   TimePoint next_deadline(TimePoint now) const;
 
  private:
   bool IsLeaving(const std::string& database) const;
   bool HasCaughtUpSuccessor(const HealthMonitor& health) const;
-  /// Whether a majority besides the primary answers: somebody to take over.
+  /// Returns whether a majority other than the primary is reachable, so that
+  /// another database can be promoted.
   bool IsReplicaMajorityReachable(TimePoint now,
                                   const HealthMonitor& health) const;
-  /// Whether a majority besides the primary has answered calls that were sent
-  /// at `since` or later, while none of it had moved.
+  /// Returns whether a majority other than the primary has answered calls sent
+  /// at `since` or later. Progress of a replica would have moved the deadline
+  /// passed as `since`.
   bool IsStallConfirmed(TimePoint since,
                         const ConfirmationTracker& confirmation) const;
   void UpdatePrimary(const HealthMonitor& health);
@@ -87,18 +93,21 @@
   std::string primary_;
   uint64_t term_ = 0;
   uint64_t highest_term_ = 0;
-  /// When the absence of a primary, or a stray term, has lasted long enough.
+  /// When this keeper proposes a new term unless the missing primary appears
+  /// before.
   std::optional<TimePoint> missing_primary_deadline_;
-  /// When the primary is suspected of being cut off, unless a replica moves.
+  /// When the primary is suspected of being partitioned unless a replica makes
+  /// progress before.
   std::optional<TimePoint> progress_deadline_;
   bool replica_probe_pending_ = false;
   bool primary_partitioned_ = false;
   LogPosition confirmed_;
   LogPosition best_replica_position_;
-  /// Doublings of `unconfirmed_after`: replicas that lag that far look just
-  /// like a cut, and another primary would not help.
+  /// Doublings of `unconfirmed_after`. Replicas that lag longer than that look
+  /// the same as a partition, and a new primary would not help.
   int timeout_doublings_ = 0;
-  /// A leaving primary hands over when this comes, ready or not.
+  /// When a leaving primary is replaced even if its successor has not caught
+  /// up.
   std::optional<TimePoint> handover_deadline_;
 };
 
--- a/src/include/ryefold/core/group/log.h
+++ b/src/include/ryefold/core/group/log.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What a database's status says about its log.
+// Evaluates the log positions reported by databases.
 
 #include <cstddef>
 #include <vector>
@@ -9,18 +9,18 @@
 
 namespace ryefold::core::group {
 
-/// How many databases out of `count` make a majority.
+/// Returns the smallest number of databases out of `count` that is a majority.
 constexpr size_t Majority(size_t count) { return count / 2 + 1; }
 
-/// Term of the entry at `index` in a log with these term starts, 0 when the
-/// log has no entry there that `starts` could place.
+/// Returns the term of the entry at `index` in a log with these term starts.
+/// Returns 0 if `index` precedes all of them.
 uint64_t TermAt(const std::vector<TermStart>& starts, uint64_t index);
 
-/// Whether a log that ends at `last` with these term starts holds the very
-/// entry named by `position`, and so everything before it.
+/// Returns whether a log that ends at `last` with these term starts contains
+/// the entry at `position`, and therefore all entries before it.
 ///
-/// The index alone does not tell: a log can be longer and still hold an entry
-/// of an older term there, which a later promotion kept.
+/// Comparing indexes is not enough: a longer log may have an entry of an older
+/// term at that index, kept by a later promotion.
 bool HoldsEntry(const LogPosition& last, const std::vector<TermStart>& starts,
                 const LogPosition& position);
 
--- a/src/include/ryefold/core/group/pool.h
+++ b/src/include/ryefold/core/group/pool.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Statement connections of one group and the slots they may keep busy.
+// Statement connections of a group and their use by requests and transactions.
 
 #include <cstdint>
 #include <map>
@@ -15,56 +15,60 @@
 enum class ConnectionState : uint8_t {
   kOpening,
   kIdle,
-  kRunning,  ///< A call is unanswered on it.
-  kOwned,    ///< Belongs to a transaction, no call unanswered.
+  kRunning,  ///< A call is in flight on it.
+  kOwned,    ///< Reserved by a transaction, no call in flight.
 };
 
 struct PooledConnection {
   std::string database;
   ConnectionState state = ConnectionState::kOpening;
-  /// Belongs to a transaction from begin until the database confirmed its end.
+  /// Reserved by a transaction, from begin until the database confirms its end.
   bool owned = false;
-  /// Request whose call is unanswered on it, and who it counts against.
+  /// Request whose call is in flight, and the workspace it is charged to.
   RequestTag tag = 0;
   std::string workspace;
 };
 
-/// Keeps a few connections ready on each database, never more than the limit
-/// less the reserve. A connection goes back only after its call was answered;
-/// closing is the way out of everything else, since an answer that is still
-/// under way would reach the next statement's caller.
+/// Keeps a few connections open to each database, at most the connection limit
+/// less the reserve. A connection is reused only after its call was answered;
+/// in every other case it is closed, since a late answer would reach the next
+/// statement's caller.
 class ConnectionPool {
  public:
-  /// New limits or databases; connections to databases that are gone are
-  /// appended to `actions` as closed and returned.
+  /// Applies new limits or databases. Closes the connections to removed
+  /// databases and returns them.
   std::vector<PooledConnection> SetGroup(const GroupSpec& group,
                                          std::vector<Action>* actions);
 
-  /// Opens what is missing on a database that may be used.
+  /// Opens the missing connections to a usable database.
   void Refill(TimePoint now, const std::string& database,
               std::vector<Action>* actions);
 
   void OnOpened(ConnectionId id);
-  /// Removes the connection and tells what it was; nothing if unknown.
+  /// Removes a connection that was refused, reset or closed by the database,
+  /// and returns it. Returns nullopt if it is unknown.
   std::optional<PooledConnection> OnLost(TimePoint now, ConnectionId id);
-  /// Closes the connection and tells what it was.
+  /// Closes the connection and returns it. Returns nullopt if it is unknown.
   std::optional<PooledConnection> Close(ConnectionId id,
                                         std::vector<Action>* actions);
-  /// Ids of all connections to `database`, or to any when it is empty.
+  /// Returns the connections to `database`, or all of them if `database` is
+  /// empty.
   std::vector<ConnectionId> ConnectionsTo(const std::string& database) const;
 
-  /// An idle connection to `database` that may run a statement now.
+  /// Returns an idle connection to `database`, or nullopt if there is none.
   std::optional<ConnectionId> FindIdle(const std::string& database) const;
-  /// Whether one more transaction may own a connection to `database`.
+  /// Returns whether one more transaction may reserve a connection to
+  /// `database`.
   bool CanBeginTransaction(const std::string& database) const;
   bool HasFreeSlot(const std::string& database) const;
 
-  /// A call for `tag` goes out on the connection.
+  /// Records that a call for `tag` is sent on the connection.
   void MarkRunning(ConnectionId id, RequestTag tag,
                    const std::string& workspace);
-  /// The call was answered; the connection is free or its owner's again.
+  /// Records that the call was answered. The connection becomes idle, or stays
+  /// reserved by its transaction.
   void MarkAnswered(ConnectionId id);
-  /// The connection begins or ends to belong to a transaction.
+  /// Reserves the connection for a transaction, or releases it.
   void SetOwned(ConnectionId id, bool owned);
 
   const PooledConnection* Find(ConnectionId id) const;
@@ -72,7 +76,8 @@
   uint32_t running_count(const std::string& database) const;
   uint32_t usable_limit() const;
   bool empty() const { return connections_.empty(); }
-  /// When a database that refused a connection may be asked again.
+  /// Returns when connections to a database that refused one may be opened
+  /// again.
   TimePoint next_deadline(TimePoint now) const;
 
  private:
--- a/src/include/ryefold/core/group/promotion.h
+++ b/src/include/ryefold/core/group/promotion.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Makes one database the primary of a new term, by majority and without any
-// store.
+// Promotes one database to the primary of a new term, by a majority of the
+// databases and without the store.
 
 #include <cstdint>
 #include <map>
@@ -14,16 +14,16 @@
 
 namespace ryefold::core::group {
 
-/// One database as the proposer sees it.
+/// A database as the proposer sees it.
 struct ProposalPeer {
   std::string database;
-  /// Its answer is worth waiting for.
+  /// Whether its answer is waited for.
   bool expected = true;
-  /// It must not become the primary: lost, cut off or leaving.
+  /// Must not become the primary: lost, partitioned or leaving.
   bool ineligible = false;
 };
 
-/// A call the proposer wants made.
+/// A control call that a proposal requires.
 struct ProposalCall {
   std::string database;
   /// `AdoptCall` or `PromoteCall`.
@@ -31,38 +31,41 @@
   TimePoint deadline;
 };
 
-/// One proposer. Safety rests on the databases alone, which accept only a term
-/// above the adopted one: a proposer may pause, wake late, race another or
-/// vanish at any point. What it must keep to itself: a term number is never
-/// proposed twice, and nothing is promoted before a majority has adopted.
+/// A proposer. Safety depends on the databases alone, which accept only terms
+/// above their adopted one, so a proposer may pause, resume late, race another
+/// one or crash at any point. The proposer itself has to ensure two things: it
+/// never proposes a term twice, and it promotes nothing before a majority has
+/// adopted the term.
 class Promotion {
  public:
-  /// `proposer` must never have been used before: two proposers of one name
-  /// could both have a term adopted and promote two databases under it.
+  /// `proposer` must be unique over all time: two proposers with the same name
+  /// could both get a term adopted and promote two databases under it.
   Promotion(std::string proposer, KeeperTiming timing, uint64_t seed);
 
-  /// Begins with a term above `highest_term` and above all seen earlier.
+  /// Starts a proposal with a term above `highest_term` and above all terms
+  /// seen before.
   void Start(TimePoint now, uint64_t highest_term,
              std::vector<ProposalPeer> peers);
-  /// Gives up, for instance since another proposer's primary was seen.
+  /// Cancels the proposal, for example when another proposer has promoted a
+  /// primary.
   void Stop();
 
   void OnAdoptAnswer(TimePoint now, uint64_t term, const std::string& database,
                      const AdoptAnswer& answer);
   void OnPromoteAnswer(TimePoint now, uint64_t term, const RoleAnswer& answer);
-  /// The call got no answer.
+  /// Handles a call that failed or timed out.
   void OnCallFailed(TimePoint now, uint64_t term, const std::string& database);
   void Tick(TimePoint now);
 
-  /// Calls to make now.
+  /// Returns the calls to send now and removes them.
   std::vector<ProposalCall> TakeCalls();
-  /// The database that has become the primary, told once.
+  /// Returns the promoted database's status once; nullopt otherwise.
   std::optional<DatabaseStatus> TakePromoted();
 
-  /// A proposal is under way.
+  /// Returns whether a proposal is in progress.
   bool IsActive() const { return phase_ != Phase::kIdle; }
-  /// Whether a new proposal may begin: no other is under way, and the pause
-  /// after a failed one is over.
+  /// Returns whether a new proposal may start: none is in progress and the
+  /// backoff after a failed one is over.
   bool IsReady(TimePoint now) const;
   uint64_t term() const { return term_; }
   const std::string& proposer() const { return proposer_; }
--- a/src/include/ryefold/core/group/reads.h
+++ b/src/include/ryefold/core/group/reads.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Turns what is known of the databases into the router's candidates, and keeps
-// the rounds that vouch for the primary's term.
+// Builds the router's candidates for a read, and decides when reads need a
+// heartbeat round.
 
 #include <deque>
 #include <map>
@@ -17,7 +17,7 @@
 
 namespace ryefold::core::group {
 
-/// What a read needs to know of the group's present state.
+/// State of the group that a read depends on.
 struct ReadContext {
   const GroupSpec& group;
   const HealthMonitor& health;
@@ -26,19 +26,20 @@
   /// Empty when there is none.
   const std::string& primary;
   uint64_t term = 0;
-  /// When a majority last vouched for the term, and when the call was sent
-  /// that the primary answered last.
+  /// When a majority last confirmed the term, and when the latest call was sent
+  /// that the primary answered.
   TimePoint term_confirmed_at;
   TimePoint primary_contact_at;
 };
 
-/// One read that waits to be routed.
+/// A read that waits to be routed.
 struct ReadState {
   TimePoint arrived;
   std::chrono::milliseconds max_age{0};
   LogPosition seen;
-  /// Where a primary vouched for after the read arrived stood. A database that
-  /// covers it serves with age 0.
+  /// Position of the primary when a majority confirmed its term after the read
+  /// arrived (compare Raft's read index). A database that has reached it serves
+  /// the read with age 0.
   std::optional<LogPosition> fresh_position;
 };
 
@@ -47,32 +48,33 @@
   explicit ReadPlanner(std::string preferred_domain)
       : preferred_domain_(std::move(preferred_domain)) {}
 
-  /// The primary of the term in force answered a call, sent at `sent`, with
-  /// `last`.
+  /// Records that the primary of the current term answered a call sent at
+  /// `sent` with its last position `last`.
   void RecordPrimaryPosition(TimePoint now, TimePoint sent,
                              const LogPosition& last);
-  /// A replica was seen at `last`.
+  /// Records that a replica reported its last position `last`.
   void RecordReplicaPosition(TimePoint now, const std::string& database,
                              const LogPosition& last);
 
-  /// Whether the read has to wait for a round that vouches for the primary:
-  /// it could have been replaced without knowing it, and then what is known of
-  /// its log is older than what the read accepts.
+  /// Returns whether the read has to wait for a heartbeat round. Without one,
+  /// the primary may have been replaced unnoticed, and its known log would be
+  /// older than the read accepts.
   bool NeedsHeartbeatRound(const ReadContext& context, ReadState* read) const;
 
-  /// Routes the read by what is known now.
+  /// Routes the read by the current state.
   routing::Route ChooseRoute(TimePoint now, const ReadContext& context,
                              const ReadState& read, TimePoint deadline) const;
 
-  /// Whether a round has to be sent, given when the newest read that needs one
-  /// arrived. Counts as sent when true: one round serves all that wait.
+  /// Returns whether a heartbeat round is due for reads of which the newest
+  /// arrived at `newest_read`, and if so records it as sent. One round serves
+  /// all waiting reads.
   bool StartRoundIfDue(TimePoint now, const ReadContext& context,
                        TimePoint newest_read);
-  /// When the round under way is given up; the far future without one.
+  /// Returns when the current round times out, or the maximum if there is none.
   TimePoint next_deadline(TimePoint now) const;
 
-  /// Time since the replica was last known level with the primary, a day at
-  /// most.
+  /// Returns the time since the replica was last known to have caught up with
+  /// the primary, at most one day.
   std::chrono::milliseconds lag(TimePoint now, const ReadContext& context,
                                 const std::string& database) const;
 
@@ -87,7 +89,7 @@
   std::string preferred_domain_;
   routing::AgeTracker ages_;
   std::deque<PrimarySample> samples_;
-  /// Replication delay of each database, smoothed.
+  /// Smoothed replication delay of each database.
   std::map<std::string, std::chrono::microseconds> replication_delays_;
   TimePoint round_started_;
   TimePoint round_deadline_;
--- a/src/include/ryefold/core/group/request.h
+++ b/src/include/ryefold/core/group/request.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One request that a keeper has not answered yet.
+// A request that the keeper has not answered yet.
 
 #include <optional>
 #include <string>
@@ -12,47 +12,47 @@
 
 enum class RequestState : uint8_t {
   kQueued,
-  kRunning,     ///< Its call is unanswered on a connection.
-  kConfirming,  ///< Ran; waits for a majority to hold it.
-  kFencing,     ///< Fenced; waits for a majority to hold the fence.
-  kInDoubt,     ///< Its answer was lost; the primary is asked about it.
+  kRunning,     ///< Its call is in flight.
+  kConfirming,  ///< Has run; waits until a majority holds its entry.
+  kFencing,     ///< Is fenced; waits until a majority holds the fence.
+  kInDoubt,  ///< Its answer was lost; a settle call to the primary resolves it.
 };
 
 struct PendingRequest {
   RequestTag tag = 0;
   StatementRequest request;
   RequestState state = RequestState::kQueued;
-  /// Only asks what became of an earlier request.
+  /// Only asks for the outcome of an earlier request.
   bool settle_only = false;
-  /// An earlier sending may have run: "not run" needs a fence.
+  /// A previous attempt may have run, so "not run" requires a fence.
   bool may_have_run = false;
-  /// A promotion discarded the entry that it wrote.
+  /// A promotion discarded the entry written by this request.
   bool discarded = false;
-  /// Its ticket may be in the queue.
+  /// Its ticket may still be in the queue.
   bool queued = false;
-  /// Term under which it was sent last, and below which it is not sent again.
+  /// Term of the last attempt, and the lowest term for the next one.
   uint64_t sent_term = 0;
   uint64_t min_term = 0;
   /// Routing needs of a read.
   ReadState read;
-  /// Connection and database it runs on, or ran on last.
+  /// Connection and database of the current or last attempt.
   ConnectionId connection = 0;
   std::string database;
-  /// The result and entry to confirm, or the fence.
+  /// Result and log entry to confirm, or the fence.
   std::string result_json;
   LogPosition position;
   SettleAnswer fence;
-  /// When the wait for the majority began.
+  /// When the wait for a majority started.
   TimePoint confirming_since;
 
   bool in_transaction() const { return !request.transaction.empty(); }
   bool is_begin() const { return request.step == Step::kBegin; }
-  /// Only the primary can serve it.
+  /// Whether only the primary can serve it.
   bool needs_primary() const {
     return request.step != Step::kStatement || in_transaction() ||
            request.kind == StatementKind::kWrite;
   }
-  /// Leaves something in the log that has to be confirmed.
+  /// Whether it writes a log entry that has to be confirmed.
   bool needs_confirmation() const {
     if (request.step == Step::kCommit) return true;
     return request.step == Step::kStatement && !in_transaction() &&
--- a/src/include/ryefold/core/group/resolution.h
+++ b/src/include/ryefold/core/group/resolution.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Requests whose answer was lost and which the primary has to be asked about.
+// Schedules settle calls for requests whose answers were lost.
 
 #include <map>
 #include <vector>
@@ -9,19 +9,21 @@
 
 namespace ryefold::core::group {
 
-/// When to ask the primary about each request in doubt. Only the primary can
-/// tell: it finds the record that the write left, or fences the id so that a
-/// copy of the statement still under way cannot run later.
+/// Decides when to ask the primary about each request in doubt. Only the
+/// primary can resolve it: it finds the record of the write, or fences the
+/// request id so that a copy of the statement still in flight cannot run later.
 class InDoubtResolver {
  public:
   void Add(TimePoint now, RequestTag tag);
   void Remove(RequestTag tag) { requests_.erase(tag); }
 
-  /// Requests to ask the primary of `term` about now; they count as asked.
+  /// Returns the requests to ask the primary of `term` about now, and marks
+  /// them as in flight.
   std::vector<RequestTag> TakeDueCalls(TimePoint now, uint64_t term);
 
-  /// No answer, a refusal, or the statement is still running: ask again after
-  /// a pause, or once there is a newer primary.
+  /// Schedules another call after a lost answer, a refusal, or while the
+  /// statement still runs: after a pause, or as soon as there is a newer
+  /// primary.
   void ScheduleRetry(TimePoint now, RequestTag tag);
 
   bool empty() const { return requests_.empty(); }
--- a/src/libcore/group/confirmation.cc
+++ b/src/libcore/group/confirmation.cc
@@ -37,7 +37,7 @@
                                       const LogPosition& position) {
   const auto it = databases_.find(database);
   if (it == databases_.end() || position <= it->second.last) return;
-  // A term that is new here is left to the status, which tells its start.
+  // The start of a new term is known only from a status, not from a write.
   if (position.term != it->second.last.term) return;
   it->second.last = position;
   AdvanceConfirmed();
--- a/src/libcore/group/following.cc
+++ b/src/libcore/group/following.cc
@@ -13,8 +13,8 @@
                                     const DatabaseStatus& primary,
                                     const DatabaseStatus& replica) {
   if (replica.adopted_term > primary.adopted_term) return false;
-  // It adopted this term from a proposer that lost the majority; it would
-  // refuse. Only a newer term brings it back.
+  // The replica adopted this term from a proposer that did not reach a majority
+  // and would refuse the call. Only a newer term resolves that.
   const bool adopted_from_other =
       replica.adopted_term == primary.adopted_term &&
       replica.proposer != primary.proposer;
--- a/src/libcore/group/health.cc
+++ b/src/libcore/group/health.cc
@@ -6,12 +6,12 @@
 namespace ryefold::core::group {
 namespace {
 
-/// Reset, refused reconnect and one refused re-check make a database lost. A
-/// process that died says so by resets at once, where waiting for the silence
-/// of a frozen one would cost its callers more than a second.
+/// A reset, a refused reconnect and one refused re-check make a database lost.
+/// A crashed process refuses connections at once; waiting for `lost_after`, as
+/// for a frozen one, would extend the outage by more than a second.
 constexpr int kRefusalsUntilLost = 3;
 constexpr std::chrono::milliseconds kRefusedRetryDelay{50};
-/// Pause before polling a lost database again.
+/// Poll interval of a lost database.
 constexpr std::chrono::milliseconds kLostPollInterval{200};
 
 }  // namespace
@@ -39,9 +39,9 @@
     if (monitored.in_flight || monitored.next_poll > now) continue;
     monitored.in_flight = true;
     StatusCall call;
-    const bool hold_call = monitored.has_status && !monitored.suspected &&
-                           monitored.consecutive_refusals == 0;
-    if (hold_call) {
+    const bool can_wait = monitored.has_status && !monitored.suspected &&
+                          monitored.consecutive_refusals == 0;
+    if (can_wait) {
       call.known_term = monitored.status.adopted_term;
       call.known_last = monitored.status.last;
       call.wait = timing_.status_wait;
@@ -56,7 +56,8 @@
   const auto it = databases_.find(database);
   if (it == databases_.end()) return;
   MonitoredDatabase& monitored = it->second;
-  // Answers to two calls can cross: an older one must not take back a term.
+  // Answers to two calls can arrive out of order; an older one must not revert
+  // the term.
   if (!monitored.has_status ||
       status.adopted_term >= monitored.status.adopted_term) {
     monitored.status = status;
--- a/src/libcore/group/keeper.cc
+++ b/src/libcore/group/keeper.cc
@@ -14,9 +14,9 @@
 constexpr double kRetryRatio = 0.2;
 constexpr double kRetryBurst = 50;
 
-/// The proposer's name with the seed of this keeper in it. An instance that
-/// was restarted under its name would otherwise pass for the one before it,
-/// and a term that the earlier one had adopted could get a second primary.
+/// Appends the seed to the proposer's name. Otherwise a restarted instance
+/// would propose under the name of its previous run, and a term adopted for
+/// that run could get a second primary.
 std::string MakeUniqueProposer(const std::string& proposer, uint64_t seed) {
   std::array<char, 17> text{};
   std::snprintf(text.data(), text.size(), "%016llx",
@@ -35,13 +35,13 @@
 }  // namespace
 
 Keeper::Impl::Impl(GroupSpec group, std::vector<WorkspacePolicy> workspaces,
-                   std::string proposer, std::string near, KeeperTiming timing,
-                   uint64_t seed)
+                   std::string proposer, std::string preferred_domain,
+                   KeeperTiming timing, uint64_t seed)
     : timing_(timing),
       health_(timing),
       leadership_(timing, seed),
       promotion_(MakeUniqueProposer(proposer, seed), timing, seed),
-      reads_(std::move(near)),
+      reads_(std::move(preferred_domain)),
       transactions_(std::move(proposer), seed),
       queue_({}, group.queue_limit, seed),
       retry_budget_(kRetryRatio, kRetryBurst) {
@@ -72,7 +72,8 @@
 
 void Keeper::Impl::On(const SettleArrived& event) {
   if (stepping_down_) {
-    // The next keeper can find out; nobody here would ask any more.
+    // The successor resolves the request; this keeper makes no further calls
+    // for it.
     actions_->push_back(
         Respond{event.tag, StatementAnswer::Unknown(Reason::kShuttingDown)});
     return;
@@ -96,7 +97,7 @@
   const bool running = pending->state == RequestState::kRunning;
   RemoveRequest(pending);
   if (!running) return;
-  // Its answer would come to whoever got the connection next.
+  // A late answer would be matched to the next statement.
   const auto closed = pool_.Close(connection, actions_);
   if (closed.has_value()) OnConnectionClosed(*closed, connection);
 }
@@ -148,7 +149,7 @@
   } else if (call->purpose == CallPurpose::kSettle && settle != nullptr) {
     OnSettleAnswer(*call, *settle);
   } else {
-    // No answer, or one that does not fit the question.
+    // No answer, or one that does not match the call.
     OnControlCallFailed(*call, now_ < call->deadline);
   }
 }
@@ -161,7 +162,7 @@
   if (stepping_down_) return;
   stepping_down_ = true;
   step_down_deadline_ = now_ + kFinishTimeout;
-  // What was never sent is better off at the next keeper.
+  // Requests that were never sent can run at the successor.
   const auto dropped =
       queue_.Drop(now_, Reason::kShuttingDown,
                   [](const auto& ticket) { return !ticket.in_transaction; });
@@ -181,7 +182,7 @@
   if (!stepping_down_) return;
   stepping_down_ = false;
   if (!stepped_down_) return;
-  // Everything was given back; begin as a new keeper would.
+  // All connections were released; restart health monitoring from scratch.
   stepped_down_ = false;
   primary_deadline_ = now_ + 2 * timing_.lost_after;
   health_ = HealthMonitor(timing_);
@@ -255,8 +256,8 @@
 
 TimePoint Keeper::Impl::next_deadline() const {
   if (stepped_down_) return TimePoint::max();
-  // Whatever was due already has been acted upon; a time that has passed
-  // would only make the caller spin.
+  // Deadlines that have passed are already processed; returning one would make
+  // the caller spin.
   std::array<TimePoint, 13> times = {calls_.next_deadline(),
                                      health_.next_deadline(now_),
                                      leadership_.next_deadline(now_),
@@ -323,11 +324,12 @@
 }
 
 Keeper::Keeper(GroupSpec group, std::vector<WorkspacePolicy> workspaces,
-               std::string proposer, std::string near, KeeperTiming timing,
-               uint64_t seed)
+               std::string proposer, std::string preferred_domain,
+               KeeperTiming timing, uint64_t seed)
     : impl_(std::make_unique<Impl>(std::move(group), std::move(workspaces),
-                                   std::move(proposer), std::move(near), timing,
-                                   seed)) {}
+                                   std::move(proposer),
+                                   std::move(preferred_domain), timing, seed)) {
+}
 Keeper::~Keeper() = default;
 
 void Keeper::Handle(TimePoint now, const Event& event,
--- a/src/libcore/group/keeper_answers.cc
+++ b/src/libcore/group/keeper_answers.cc
@@ -1,4 +1,4 @@
-// What the keeper makes of answers, and of answers that never come.
+// Answers of databases, lost answers, and the outcomes derived from them.
 
 #include <algorithm>
 #include <utility>
@@ -57,8 +57,8 @@
   if (const auto* primary = health_.status(leadership_.primary())) {
     needed = session::CutBack(needed, primary->term_starts);
   }
-  // The database may have lost entries, to a newer primary, between its status
-  // and the read. The answer itself tells what the read has seen.
+  // Between its status and the read, the database may have lost entries to a
+  // newer primary. The answer's own position shows what the read has seen.
   if (answer.position < needed) {
     health_.MarkSuspected(now_, pending->database);
     PushToQueue(pending);
@@ -86,9 +86,9 @@
       OnTermRefusal(pending, answer);
       return;
     case ExecuteStatus::kFenced:
-      // A fence that only this primary holds can be lost with it, and then a
-      // copy still under way could run: the caller hears "not run" only once
-      // a majority holds the fence, whose position the settle call tells.
+      // A fence held only by this primary can be lost with it, and then a copy
+      // still in flight could run. The caller gets "not run" only once a
+      // majority holds the fence; the settle call returns the fence's position.
       MarkInDoubt(pending);
       return;
     case ExecuteStatus::kSqlError:
@@ -105,7 +105,7 @@
 
 void Keeper::Impl::OnTermRefusal(PendingRequest* pending,
                                  const ExecuteAnswer& answer) {
-  // The primary of that term would only refuse again.
+  // The primary of that term would refuse the request again.
   pending->min_term = std::max(answer.adopted_term, pending->sent_term + 1);
   health_.MarkSuspected(now_, pending->database);
   PushToQueue(pending);
@@ -116,7 +116,7 @@
                                  const ExecuteAnswer& answer) {
   const std::string& workspace = pending->request.workspace;
   if (answer.status == ExecuteStatus::kOk) {
-    // Its share of the connections stays taken until the transaction ends.
+    // The workspace's connection share stays taken until the transaction ends.
     pool_.SetOwned(connection, true);
     const Transaction& open = transactions_.Begin(
         now_, workspace, pending->database, leadership_.term(), connection);
@@ -127,9 +127,9 @@
     return;
   }
   shares(pending->database).Release(workspace);
-  const bool term = answer.status == ExecuteStatus::kStaleTerm ||
-                    answer.status == ExecuteStatus::kNotPrimary;
-  if (term) {
+  const bool term_refused = answer.status == ExecuteStatus::kStaleTerm ||
+                            answer.status == ExecuteStatus::kNotPrimary;
+  if (term_refused) {
     OnTermRefusal(pending, answer);
   } else if (pending->may_have_run) {
     Finish(pending, StatementAnswer::Unknown(Reason::kDatabaseLost));
@@ -146,24 +146,25 @@
   Transaction* open =
       transactions_.Find(request.transaction, request.workspace);
   if (open != nullptr) transactions_.SetRunning(now_, open, false);
-  const bool ends = request.step != Step::kStatement;
+  const bool ends_transaction = request.step != Step::kStatement;
   if (answer.status != ExecuteStatus::kOk) {
-    const bool sql = answer.status == ExecuteStatus::kSqlError && !ends;
-    // Whatever state the database holds the transaction in now, closing the
-    // connection makes it roll back.
+    const bool sql_error =
+        answer.status == ExecuteStatus::kSqlError && !ends_transaction;
+    // Closing the connection makes the database roll back, whatever state the
+    // transaction is in.
     const std::string id = request.transaction;
     if (answer.status == ExecuteStatus::kFenced) {
       MarkInDoubt(pending);
     } else {
       FinishNotRun(pending, *NotRunProof::RefusedBy(answer),
-                   sql ? Reason::kSqlError : Reason::kTransactionLost,
+                   sql_error ? Reason::kSqlError : Reason::kTransactionLost,
                    milliseconds(0), answer.error);
     }
-    if (!sql) CloseTransaction(id);
+    if (!sql_error) CloseTransaction(id);
     return;
   }
-  if (!ends) {
-    // A write of an open transaction has no place in the log yet.
+  if (!ends_transaction) {
+    // A write of an open transaction has no log position yet.
     const bool write = request.kind == StatementKind::kWrite;
     const LogPosition seen = write ? request.seen : answer.position;
     Finish(pending, StatementAnswer::Done(answer.result_json, seen)
@@ -198,9 +199,9 @@
     shares(connection.database).Release(connection.workspace);
   }
   PendingRequest* pending = FindRequest(connection.tag);
-  const bool waits =
+  const bool is_waiting =
       pending != nullptr && pending->state == RequestState::kRunning;
-  if (waits) OnAnswerLost(pending);
+  if (is_waiting) OnAnswerLost(pending);
 }
 
 void Keeper::Impl::OnAnswerLost(PendingRequest* pending) {
@@ -210,10 +211,10 @@
     return;
   }
   const bool read = !pending->needs_confirmation() && !pending->is_begin();
-  const bool again = read || pending->is_begin() ||
-                     (request.repeatable && !pending->in_transaction());
+  const bool can_retry = read || pending->is_begin() ||
+                         (request.repeatable && !pending->in_transaction());
   if (!read) pending->may_have_run = true;
-  if (again && retry_budget_.TakeRetry()) {
+  if (can_retry && retry_budget_.TakeRetry()) {
     PushToQueue(pending);
   } else if (pending->needs_confirmation()) {
     MarkInDoubt(pending);
@@ -226,9 +227,9 @@
   pending->queued = false;
   pending->may_have_run = true;
   pending->state = RequestState::kInDoubt;
-  // Without an id there is no record and nothing to fence.
-  const bool begin = pending->is_begin();
-  if (begin || pending->request.request_id.empty()) {
+  // Without a request id there is no record to find and nothing to fence.
+  const bool is_begin = pending->is_begin();
+  if (is_begin || pending->request.request_id.empty()) {
     Finish(pending, StatementAnswer::Unknown(Reason::kDatabaseLost));
     return;
   }
@@ -275,8 +276,7 @@
   while (!unconfirmed_.empty()) {
     const auto [position, tag] = *unconfirmed_.begin();
     const LogEntryState entry_state = confirmation_.ClassifyEntry(position);
-    // In order of position: what is not known of this one is not known of
-    // any that follows.
+    // Sorted by position: if this one is pending, so are all that follow.
     if (entry_state == LogEntryState::kPending) return;
     unconfirmed_.erase(unconfirmed_.begin());
     PendingRequest* pending = FindRequest(tag);
@@ -303,16 +303,17 @@
 
 void Keeper::Impl::OnDiscarded(PendingRequest* pending) {
   const bool write = pending->state == RequestState::kConfirming;
-  const bool again = write && !pending->settle_only &&
-                     pending->request.repeatable && !pending->in_transaction();
+  const bool can_retry = write && !pending->settle_only &&
+                         pending->request.repeatable &&
+                         !pending->in_transaction();
   if (write) pending->discarded = true;
-  if (again && retry_budget_.TakeRetry()) {
+  if (can_retry && retry_budget_.TakeRetry()) {
     PushToQueue(pending);
     return;
   }
-  // This entry is gone for good, but its caller may have repeated the request
-  // through another keeper, which ran it under the newer term. The new primary
-  // finds that run, or fences the id: only then is it "not run".
+  // This entry cannot reappear, but the caller may have repeated the request
+  // through another keeper, which ran it under the newer term. It is "not run"
+  // only if the new primary finds no record and fences the id.
   MarkInDoubt(pending);
 }
 
@@ -341,8 +342,7 @@
     case RequestState::kRunning: {
       const ConnectionId connection = pending->connection;
       Finish(pending, StatementAnswer::Unknown(Reason::kDeadline));
-      // Whatever the database still answers on it would be taken for the
-      // answer to the next statement.
+      // A late answer would be matched to the next statement.
       const auto closed = pool_.Close(connection, actions_);
       if (closed.has_value()) OnConnectionClosed(*closed, connection);
       return;
--- a/src/libcore/group/keeper_control.cc
+++ b/src/libcore/group/keeper_control.cc
@@ -1,5 +1,4 @@
-// What the keeper does by control calls: statuses, promotion, followers,
-// questions about lost answers.
+// Control calls of the keeper: statuses, promotions, follow and settle calls.
 
 #include <algorithm>
 #include <utility>
@@ -13,7 +12,7 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kSettleCallTimeout{1000};
-/// How long a change of primary takes once it has begun, for callers' sake.
+/// Expected duration of a promotion, for retry hints and early refusals.
 constexpr milliseconds kExpectedOutage{300};
 
 }  // namespace
@@ -79,10 +78,11 @@
 bool Keeper::Impl::IsPrimaryIdle() const {
   const std::string& primary = leadership_.primary();
   const DatabaseStatus* status = health_.status(primary);
-  // A status from before the last write would take a replica that lacks the
-  // write for level.
-  const bool seen = status != nullptr && status->last >= last_written_;
-  return seen && pool_.running_count(primary) == 0 &&
+  // With a status older than the last write, a replica that lacks the write
+  // would seem to have caught up.
+  const bool status_current =
+      status != nullptr && status->last >= last_written_;
+  return status_current && pool_.running_count(primary) == 0 &&
          transactions_.FindOn(primary).empty();
 }
 
@@ -92,10 +92,11 @@
     ++failovers_;
     leadership_.Update(now_, health_, confirmation_);
   }
-  // Another proposer was faster: its primary is as good as ours.
-  const bool overtaken =
+  // Another proposer has promoted a primary, which makes this proposal
+  // obsolete.
+  const bool superseded =
       !leadership_.primary().empty() && leadership_.term() >= promotion_.term();
-  if (promotion_.IsActive() && overtaken) promotion_.Stop();
+  if (promotion_.IsActive() && superseded) promotion_.Stop();
   if (promotion_.IsReady(now_)) {
     const PromotionCause cause =
         leadership_.FindPromotionCause(now_, health_, IsPrimaryIdle());
@@ -204,9 +205,9 @@
 bool Keeper::Impl::ShouldFailFast() const {
   if (leadership_.primary().empty() && now_ >= primary_deadline_) return true;
   if (!health_.HasAssessedAll(now_)) return false;
-  const bool needed = leadership_.primary().empty() ||
-                      health_.IsLost(now_, leadership_.primary());
-  return needed && !leadership_.IsMajorityReachable(now_, health_);
+  const bool primary_missing = leadership_.primary().empty() ||
+                               health_.IsLost(now_, leadership_.primary());
+  return primary_missing && !leadership_.IsMajorityReachable(now_, health_);
 }
 
 }  // namespace ryefold::core::group
--- a/src/libcore/group/keeper_impl.h
+++ b/src/libcore/group/keeper_impl.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// The keeper composed of its parts. The work is split over keeper.cc (events
-// and views), keeper_control.cc (statuses, promotion), keeper_requests.cc
-// (queue and sending) and keeper_answers.cc (answers and outcomes).
+// Implementation of the keeper, in keeper.cc (events and views),
+// keeper_control.cc (statuses and promotions), keeper_requests.cc (queueing and
+// dispatch) and keeper_answers.cc (answers and outcomes).
 
 #include <map>
 #include <set>
@@ -26,19 +26,20 @@
 
 namespace ryefold::core::group {
 
-/// Open transactions of a keeper that steps down, and what runs on a leaving
-/// database, may go on for this long.
+/// Time allowed for open transactions when the keeper steps down, and for all
+/// open work on a leaving database.
 constexpr std::chrono::milliseconds kFinishTimeout{2000};
-/// Transactions on a leaving primary, for which all writes are held.
+/// Time allowed for transactions on a leaving primary; writes are held for that
+/// long.
 constexpr std::chrono::milliseconds kTransactionHandoverTimeout{200};
-/// When to come back after a refusal by a keeper that steps down: the next one
-/// is there already.
+/// Retry hint given while the keeper steps down: its successor is already
+/// available.
 constexpr std::chrono::milliseconds kRetryAfterStepDown{20};
 
 class Keeper::Impl {
  public:
   Impl(GroupSpec group, std::vector<WorkspacePolicy> workspaces,
-       std::string proposer, std::string near, KeeperTiming timing,
+       std::string proposer, std::string preferred_domain, KeeperTiming timing,
        uint64_t seed);
 
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions);
@@ -79,9 +80,10 @@
   void SendHeartbeatRound();
   void SendProbe(const std::string& database);
   bool IsPrimaryIdle() const;
-  /// Whether the primary takes new statements now.
+  /// Returns whether the primary accepts new statements now.
   bool IsPrimaryAvailable() const;
-  /// Whether waiting for a primary makes no sense at present.
+  /// Returns whether requests that need the primary are refused at once instead
+  /// of queued.
   bool ShouldFailFast() const;
 
   // keeper_requests.cc
@@ -158,32 +160,33 @@
   std::map<RequestTag, PendingRequest> pending_;
   std::set<std::pair<TimePoint, RequestTag>> deadlines_;
   std::set<std::pair<LogPosition, RequestTag>> unconfirmed_;
-  /// When each unconfirmed write was answered by the primary, oldest first.
+  /// Unconfirmed requests by the time at which they started to wait.
   std::set<std::pair<TimePoint, RequestTag>> unconfirmed_since_;
-  /// Workspaces that have requests waiting, while pumping.
+  /// Workspaces with queued requests, set while dispatching.
   std::vector<std::string> waiting_workspaces_;
 
   // The event being handled.
   TimePoint now_;
   std::vector<Action>* actions_ = nullptr;
 
-  /// Set while pumping: where the ticket looked at last may run.
+  /// Where the last examined ticket can run, set while dispatching.
   std::string target_;
   ConnectionId target_connection_ = 0;
   bool reads_possible_ = false;
   uint32_t route_attempts_left_ = 0;
-  /// When the newest read that waits for a round arrived.
+  /// Arrival of the newest read that waits for a heartbeat round.
   std::optional<TimePoint> round_needed_for_;
-  /// A waiting read is looked at again then.
+  /// When a waiting read may become routable.
   TimePoint next_read_check_ = TimePoint::max();
-  /// When the primary should be there again, while there is none.
+  /// Expected end of the current failover; unset while the primary is
+  /// available.
   std::optional<TimePoint> outage_end_;
-  /// Until when a group without a primary is worth waiting for.
+  /// Until when requests wait in a group without a primary.
   TimePoint primary_deadline_;
   std::set<std::string> disconnected_;
-  /// When each leaving database was marked so.
+  /// When each leaving database was marked as leaving.
   std::map<std::string, TimePoint> leaving_since_;
-  /// Last entry that a write of this keeper is known to have made.
+  /// Highest log entry written through this keeper.
   LogPosition last_written_;
 
   bool stepping_down_ = false;
--- a/src/libcore/group/keeper_requests.cc
+++ b/src/libcore/group/keeper_requests.cc
@@ -1,4 +1,4 @@
-// What the keeper does with requests until they are sent.
+// Requests from arrival until they are sent.
 
 #include <algorithm>
 #include <utility>
@@ -11,12 +11,12 @@
 
 using std::chrono::milliseconds;
 
-/// When to come back while the group cannot have a primary at all.
+/// Retry hint while the group cannot have a primary or confirms too slowly.
 constexpr milliseconds kRetryAfterUnavailable{500};
 constexpr milliseconds kMinRetryAfter{20};
-/// Reads that may be routed in vain for one event. While many wait for a
-/// replica to catch up, each event would otherwise route all of them again, and
-/// the keeper would have time for nothing else.
+/// Limit of failed routing attempts per event. While many reads wait for a
+/// replica to catch up, each event would otherwise route all of them again and
+/// take up all of the keeper's time.
 constexpr uint32_t kMaxRouteAttemptsPerEvent = 64;
 
 milliseconds MaxAgeOf(const StatementRequest& request,
@@ -164,9 +164,10 @@
 
 void Keeper::Impl::DispatchQueue() {
   DispatchRunnable();
-  // Reads that wait for a confirmation, and writes for a primary, wait while
-  // every slot is free. Counted as a busy group that finishes nothing, they
-  // made it look all but stopped, and callers with seconds left were refused.
+  // Reads that wait for a heartbeat round, and writes that wait for a primary,
+  // leave every slot free. If that time counted as work, the measured service
+  // rate would drop to almost zero and requests with seconds left would be
+  // refused.
   queue_.SetWorking(now_, IsAnyRunning());
 }
 
@@ -176,7 +177,7 @@
   waiting_workspaces_ = queue_.waiting();
   const ReadContext context = read_context();
   route_attempts_left_ = kMaxRouteAttemptsPerEvent;
-  // A full group is not worth the walk over everything that waits.
+  // Without a free slot, examining all queued requests is useless.
   while (queue_.size() > 0 && HasAnyFreeSlot()) {
     reads_possible_ = CanServeAnyRead();
     const auto ticket =
@@ -210,7 +211,7 @@
 bool Keeper::Impl::CanRunInTransaction(PendingRequest* pending) {
   const Transaction* open = transactions_.Find(pending->request.transaction,
                                                pending->request.workspace);
-  // Of a transaction that is gone: taken out, to be refused.
+  // The transaction has ended: dequeue the request, so that it is refused.
   if (open == nullptr) return true;
   if (open->running || !pool_.HasFreeSlot(open->database)) return false;
   target_ = open->database;
@@ -294,8 +295,8 @@
   call.kind = request.kind;
   call.request_id = request.request_id;
   call.workspace = request.workspace;
-  // The record answers a repeat, by this keeper or by the caller through any
-  // other, without running the write again.
+  // With a record, a repeat of the request through any keeper is answered
+  // without running the write again.
   call.record = pending->needs_confirmation() && !request.request_id.empty();
   call.sql = request.sql;
   call.params_json = request.params_json;
--- a/src/libcore/group/leadership.cc
+++ b/src/libcore/group/leadership.cc
@@ -7,13 +7,13 @@
 namespace ryefold::core::group {
 namespace {
 
-/// How long a group may be without a primary, or a stray term stand, before
-/// this keeper proposes: another proposer may be at it.
+/// How long a group or a term may lack a primary before this keeper proposes a
+/// new term. Another proposer may already be active.
 constexpr std::chrono::milliseconds kMissingPrimaryGrace{300};
 constexpr int kMissingPrimaryJitterMs = 200;
 constexpr int kMaxTimeoutDoublings = 4;
-/// Bound of a planned change: what runs on a leaving primary may finish and
-/// the successor catch up for this long.
+/// Limit of a planned handover: time for open work on a leaving primary to
+/// finish and for its successor to catch up.
 constexpr std::chrono::milliseconds kHandoverTimeout{200};
 
 }  // namespace
@@ -113,8 +113,8 @@
   if (confirmation.confirmed() > confirmed_) timeout_doublings_ = 0;
   confirmed_ = confirmation.confirmed();
   best_replica_position_ = best_replica_position;
-  // Replicas that were away are given the whole time to confirm once they are
-  // back; they would otherwise replace a primary that they are about to follow.
+  // Replicas that become reachable again get the full time to confirm.
+  // Otherwise they would replace a primary that they are about to follow.
   if (all_confirmed || !IsReplicaMajorityReachable(now, health)) {
     progress_deadline_.reset();
   } else if (!progress_deadline_ || moved) {
@@ -192,13 +192,14 @@
   if (health.IsLost(now, primary_)) return PromotionCause::kPrimaryLost;
   if (primary_partitioned_) return PromotionCause::kPrimaryPartitioned;
   if (IsPrimaryLeaving()) {
-    const bool successor = std::any_of(
+    const bool has_successor = std::any_of(
         group_.databases.begin(), group_.databases.end(),
         [now, &health](const DatabaseSpec& spec) {
           return !spec.leaving && health.IsReachable(now, spec.database);
         });
     const bool due = handover_deadline_ && now >= *handover_deadline_;
-    if (successor && (due || (primary_idle && HasCaughtUpSuccessor(health)))) {
+    if (has_successor &&
+        (due || (primary_idle && HasCaughtUpSuccessor(health)))) {
       return PromotionCause::kPrimaryLeaving;
     }
   }
@@ -225,7 +226,7 @@
       std::all_of(peers.begin(), peers.end(),
                   [](const ProposalPeer& peer) { return peer.ineligible; });
   for (ProposalPeer& peer : peers) {
-    // Better a leaving primary than none.
+    // A leaving primary is better than none.
     if (all_ineligible) {
       peer.ineligible = exclude_primary && peer.database == primary_;
     }
--- a/src/libcore/group/pool.cc
+++ b/src/libcore/group/pool.cc
@@ -6,7 +6,7 @@
 namespace {
 
 /// Pause after a refused connection. Another keeper may hold the rest of the
-/// limit; asking at once again would only load the database.
+/// limit, and an immediate retry would only add load.
 constexpr std::chrono::milliseconds kReopenDelay{100};
 
 }  // namespace
@@ -107,8 +107,9 @@
 bool ConnectionPool::CanBeginTransaction(const std::string& database) const {
   const auto it = counts_.find(database);
   if (it == counts_.end()) return false;
-  // Plain statements keep a connection for each slot, or one when there are
-  // too few for that; open transactions could otherwise shut them out.
+  // Keeps one connection per slot for statements outside of transactions, or
+  // all but one if there are fewer. Otherwise open transactions could block
+  // them.
   const uint32_t for_statements = std::min(group_.slots, usable_limit() - 1);
   return it->second.owned + for_statements < usable_limit();
 }
--- a/src/libcore/group/promotion.cc
+++ b/src/libcore/group/promotion.cc
@@ -8,7 +8,7 @@
 namespace ryefold::core::group {
 namespace {
 
-/// Doublings of the pause after failed proposals.
+/// Limit of the exponential backoff after failed proposals.
 constexpr int kMaxBackoffDoublings = 4;
 
 }  // namespace
@@ -41,7 +41,7 @@
                               const std::string& database,
                               const AdoptAnswer& answer) {
   highest_seen_ = std::max(highest_seen_, answer.status.adopted_term);
-  // An answer to an earlier proposal says nothing about this one.
+  // Answers to earlier proposals do not count for this one.
   if (phase_ != Phase::kAdopting || term != term_) return;
   const auto it = peers_.find(database);
   if (it == peers_.end()) return;
@@ -54,8 +54,8 @@
                              const std::string& database) {
   if (term != term_) return;
   if (phase_ == Phase::kPromoting && database == candidate_) {
-    // The answer may be lost and the database be the primary already. To
-    // promote again appends nothing, so the same call is repeated.
+    // The answer may be lost although the database has become the primary. The
+    // call is idempotent (a repeated one appends no entry), so it is repeated.
     if (now < phase_deadline_) Promote(now);
     return;
   }
@@ -82,10 +82,10 @@
     }
   }
   if (best == nullptr) return std::nullopt;
-  // A majority that adopted must be at or behind the candidate. Every
-  // acknowledged write is on a majority, so on one of these, so on the
-  // candidate. Compared by the term of the last entry first: the longer log
-  // may be the older one.
+  // A majority that adopted the term must be at or behind the candidate. Every
+  // acknowledged write is on a majority, hence on one of these databases, hence
+  // on the candidate. Positions compare by term first, as a longer log may be
+  // an older one.
   if (CountAtOrBehind(best->adopted->last) < Majority(peers_.size())) {
     return std::nullopt;
   }
@@ -99,7 +99,7 @@
 }
 
 void Promotion::Decide(TimePoint now) {
-  // Whoever is known to answer is waited for: the more of them, the fewer
+  // Waits for all reachable databases: the more answers, the fewer
   // unacknowledged writes are discarded.
   if (!HaveAllExpectedAnswered() && now < phase_deadline_) return;
   const std::optional<std::string> candidate = ChooseCandidate();
@@ -135,7 +135,7 @@
   phase_ = Phase::kIdle;
   const int doublings = std::min(failures_++, kMaxBackoffDoublings);
   const auto pause = timing_.proposal_retry * (1 << doublings);
-  // Two proposers that collided would collide again after equal pauses.
+  // Without jitter, two proposers that collided would collide again.
   std::uniform_int_distribution<int64_t> jitter(pause.count() / 2,
                                                 pause.count() * 3 / 2);
   next_attempt_at_ = now + std::chrono::milliseconds(jitter(random_));
--- a/src/libcore/group/reads.cc
+++ b/src/libcore/group/reads.cc
@@ -9,16 +9,16 @@
 namespace {
 
 constexpr size_t kMaxPrimarySamples = 4096;
-/// Weight of a new sample in the smoothed delay, as a divisor.
+/// Divisor of the weight of a new sample in the smoothed delay.
 constexpr int kDelaySmoothingDivisor = 8;
-/// Reported of a replica about which nothing is known.
+/// Upper limit of the reported lag, also reported when the lag is unknown.
 constexpr std::chrono::milliseconds kMaxReportedLag = std::chrono::hours(24);
-/// A round that got no majority by then is sent again.
+/// A round without answers from a majority is repeated after this time.
 constexpr std::chrono::milliseconds kRoundTimeout{100};
 
 using std::chrono::milliseconds;
 
-/// The last moment the read's data may be from, for its age to be accepted.
+/// Returns the oldest time of the data that the read accepts.
 TimePoint OldestAcceptedTime(const ReadState& read) {
   return read.arrived - read.max_age;
 }
@@ -27,8 +27,8 @@
 
 void ReadPlanner::RecordPrimaryPosition(TimePoint now, TimePoint sent,
                                         const LogPosition& last) {
-  // It had no more than `last` when the call was sent; since then it can have
-  // moved on unseen.
+  // The primary had reached no more than `last` when the call was sent, and may
+  // have advanced since.
   ages_.PrimaryAt(sent, last);
   if (!samples_.empty() && last <= samples_.back().position) return;
   samples_.push_back({last, now});
@@ -133,10 +133,11 @@
 
 bool ReadPlanner::StartRoundIfDue(TimePoint now, const ReadContext& context,
                                   TimePoint newest_read) {
-  const bool over = std::min(context.term_confirmed_at,
-                             context.primary_contact_at) >= round_started_ ||
-                    now >= round_deadline_;
-  if (!over || newest_read > now) return false;
+  const bool previous_finished =
+      std::min(context.term_confirmed_at, context.primary_contact_at) >=
+          round_started_ ||
+      now >= round_deadline_;
+  if (!previous_finished || newest_read > now) return false;
   round_started_ = now;
   round_deadline_ = now + kRoundTimeout;
   return true;
--- a/src/libcore/group/resolution.cc
+++ b/src/libcore/group/resolution.cc
@@ -19,8 +19,8 @@
                                                       uint64_t term) {
   std::vector<RequestTag> due;
   for (auto& [tag, request] : requests_) {
-    // A newer primary is asked at once: the one before it is lost, and what it
-    // was asked may never be answered.
+    // A newer primary is asked at once: the previous one is lost and may never
+    // answer.
     const bool new_term = term > request.called_term;
     if (!new_term && (request.in_flight || request.next_call > now)) continue;
     request.in_flight = true;
--- a/src/libcore/group/transactions.cc
+++ b/src/libcore/group/transactions.cc
@@ -7,8 +7,8 @@
 namespace ryefold::core::group {
 namespace {
 
-/// A transaction whose caller sends nothing for this long is abandoned: its
-/// connection is closed, which makes the database roll it back.
+/// A transaction whose caller sends no statement for this long is abandoned.
+/// Its connection is closed, which makes the database roll back.
 constexpr std::chrono::seconds kIdleTimeout{10};
 
 }  // namespace
--- a/testsuite/group_bounds/bounds_test.cc
+++ b/testsuite/group_bounds/bounds_test.cc
@@ -1,6 +1,6 @@
-// Regression bounds on the failover gap and on the share of reads that
-// replicas serve, in virtual time. `bench_failover` and `bench_replica_share`
-// print the figures behind them.
+// Regression bounds on the failover gap and on the share of reads served by
+// replicas, in virtual time. `bench_failover` and `bench_replica_share` print
+// the underlying figures.
 
 #include <gtest/gtest.h>
 
@@ -20,14 +20,16 @@
   milliseconds worst;
 };
 
-constexpr milliseconds kAny{60000};
+constexpr milliseconds kNoBound{60000};
 constexpr GapBound kGapBounds[] = {
     {"killed", Loss::kKilled, milliseconds(1200), milliseconds(2500)},
     {"cut off", Loss::kCutOff, milliseconds(1200), milliseconds(2500)},
-    {"frozen", Loss::kFrozen, kAny, milliseconds(4000)},
-    {"silent", Loss::kSilent, kAny, milliseconds(4000)},
-    {"killed with keeper", Loss::kKilledWithKeeper, kAny, milliseconds(4000)},
-    {"frozen with keeper", Loss::kFrozenWithKeeper, kAny, milliseconds(4000)},
+    {"frozen", Loss::kFrozen, kNoBound, milliseconds(4000)},
+    {"silent", Loss::kSilent, kNoBound, milliseconds(4000)},
+    {"killed with keeper", Loss::kKilledWithKeeper, kNoBound,
+     milliseconds(4000)},
+    {"frozen with keeper", Loss::kFrozenWithKeeper, kNoBound,
+     milliseconds(4000)},
     {"planned", Loss::kPlanned, milliseconds(300), milliseconds(300)},
 };
 
@@ -46,8 +48,7 @@
 TEST(FailoverGap, StaysWithinItsBoundsAtTamworth) { ExpectGaps(Tamworth()); }
 TEST(FailoverGap, StaysWithinItsBoundsAtZendmast) { ExpectGaps(Zendmast()); }
 
-// Replicas that lag as they do on an ordinary day must not slow a planned
-// change beyond its bound.
+// Ordinary replication lag must not extend a planned change beyond its bound.
 TEST(FailoverGap, APlannedChangeWaitsForALaggingReplica) {
   GroupShape shape = Tamworth();
   shape.database.lag = milliseconds(50);
@@ -57,7 +58,7 @@
   EXPECT_TRUE(figures.wrong.empty()) << figures.wrong.front();
 }
 
-// A promotion of a healthy group costs its callers a gap for nothing.
+// A promotion in a healthy group causes a gap without need.
 TEST(FalsePromotions, NoneForStallsOrASlowNetwork) {
   for (const Traffic traffic : {Traffic::kSteady, Traffic::kRare}) {
     EXPECT_EQ(CountFalsePromotions(Tamworth(), std::chrono::seconds(3),
--- a/testsuite/group_drain/drain_test.cc
+++ b/testsuite/group_drain/drain_test.cc
@@ -1,4 +1,4 @@
-// Databases that leave.
+// Draining of databases and keepers.
 
 #include <gtest/gtest.h>
 
@@ -10,8 +10,8 @@
 using core::OutcomeKind;
 using std::chrono::seconds;
 
-/// Sends a write and a read every 5 ms for a while.
-void Load(FakeGroup& group, milliseconds time) {
+/// Sends a write and a read every 5 ms for `time`.
+void SendLoad(FakeGroup& group, milliseconds time) {
   for (milliseconds at{0}; at < time; at += milliseconds(5)) {
     group.Send(0, group.Write(seconds(2)));
     group.Send(0, group.Read("x", seconds(2), {}, seconds(5)));
@@ -19,9 +19,9 @@
   }
 }
 
-/// One step of a transaction, answered.
-core::StatementAnswer Step(FakeGroup& group, core::Step step,
-                           const std::string& transaction) {
+/// Runs one step of a transaction and returns its answer.
+core::StatementAnswer RunStep(FakeGroup& group, core::Step step,
+                              const std::string& transaction) {
   core::StatementRequest request = group.Write(seconds(2));
   request.step = step;
   request.transaction = transaction;
@@ -30,14 +30,14 @@
   return *group.asked(tag).answer;
 }
 
-// The platform lists a replica as leaving. Whatever it were given from then on
-// would be cut off when it goes.
+// The platform lists a replica as leaving. A statement sent to it afterwards
+// would be cut off when it stops.
 TEST(Drain, ALeavingReplicaGetsNoStatementAfterTheEvent) {
   auto group = ReadyGroup();
-  Load(*group, milliseconds(200));
+  SendLoad(*group, milliseconds(200));
   group->Policy("b");
   const TimePoint marked = group->time().now();
-  Load(*group, seconds(1));
+  SendLoad(*group, seconds(1));
   EXPECT_LE((*group)["b"].statements_at(),
             marked + group->shape().network.one_way);
   EXPECT_EQ(Promotions(*group), 0u);
@@ -46,16 +46,16 @@
   EXPECT_EQ(Text(group->HealAndCheck()), "");
 }
 
-// The primary leaves under load: writes are held, the best replica catches up
-// and takes over, and none of them fails.
+// The primary leaves under load: writes are held while the most advanced
+// replica catches up and takes over, and no write fails.
 TEST(Drain, ALeavingPrimaryIsReplacedWithoutAFailedWrite) {
   auto group = ReadyGroup();
   (*group)["b"].shape().lag = milliseconds(50);
   (*group)["c"].shape().lag = milliseconds(50);
-  Load(*group, milliseconds(300));
+  SendLoad(*group, milliseconds(300));
   group->Policy("a");
   const TimePoint marked = group->time().now();
-  Load(*group, seconds(1));
+  SendLoad(*group, seconds(1));
   group->time().RunFor(seconds(3));
   EXPECT_LE((*group)["a"].statements_at(),
             marked + group->shape().network.one_way);
@@ -69,45 +69,47 @@
   EXPECT_EQ(Text(group->HealAndCheck()), "");
 }
 
-// A transaction is open on the leaving primary. It may finish within a short
-// bound, for which all writes are held.
+// A transaction open on the leaving primary may finish within a short bound,
+// for which all writes are held.
 TEST(Drain, AnOpenTransactionMayFinishOnALeavingPrimary) {
   auto group = ReadyGroup();
-  const auto begin = Step(*group, core::Step::kBegin, "");
+  const auto begin = RunStep(*group, core::Step::kBegin, "");
   group->Policy("a");
-  const auto write = Step(*group, core::Step::kStatement, begin.transaction());
+  const auto write =
+      RunStep(*group, core::Step::kStatement, begin.transaction());
   EXPECT_EQ(write.kind(), OutcomeKind::kDone);
-  const auto commit = Step(*group, core::Step::kCommit, begin.transaction());
+  const auto commit = RunStep(*group, core::Step::kCommit, begin.transaction());
   EXPECT_EQ(commit.kind(), OutcomeKind::kDone);
   group->time().RunFor(milliseconds(100));
   EXPECT_NE(group->primary()->name(), "a");
   EXPECT_EQ(Text(group->HealAndCheck()), "");
 }
 
-// The caller of an open transaction has gone for a coffee. The change of
-// primary does not wait for it; its next statement hears that it is over.
+// The caller of an open transaction sends nothing. The change of primary does
+// not wait for it, and its next statement is refused.
 TEST(Drain, ATransactionThatDoesNotFinishIsEndedCleanly) {
   auto group = ReadyGroup();
-  const auto begin = Step(*group, core::Step::kBegin, "");
-  Step(*group, core::Step::kStatement, begin.transaction());
+  const auto begin = RunStep(*group, core::Step::kBegin, "");
+  RunStep(*group, core::Step::kStatement, begin.transaction());
   group->Policy("a");
   group->time().RunFor(milliseconds(400));
   EXPECT_NE(group->primary()->name(), "a");
-  const auto commit = Step(*group, core::Step::kCommit, begin.transaction());
+  const auto commit = RunStep(*group, core::Step::kCommit, begin.transaction());
   EXPECT_EQ(commit.kind(), OutcomeKind::kNotRun);
   EXPECT_EQ(Text(group->HealAndCheck()), "");
 }
 
-// A keeper steps down with a transaction open and a write unconfirmed. Both
-// come to their end before it lets go.
+// A keeper steps down with an open transaction, whose commit then has to be
+// confirmed. Both finish before the keeper releases its connections.
 TEST(Drain, AKeeperStepsDownOnlyAfterWhatIsOpen) {
   auto group = ReadyGroup();
-  const auto begin = Step(*group, core::Step::kBegin, "");
+  const auto begin = RunStep(*group, core::Step::kBegin, "");
   group->keeper(0).Feed(core::group::StepDown{});
   EXPECT_FALSE(group->keeper(0).idle());
-  const auto write = Step(*group, core::Step::kStatement, begin.transaction());
+  const auto write =
+      RunStep(*group, core::Step::kStatement, begin.transaction());
   EXPECT_EQ(write.kind(), OutcomeKind::kDone);
-  const auto commit = Step(*group, core::Step::kCommit, begin.transaction());
+  const auto commit = RunStep(*group, core::Step::kCommit, begin.transaction());
   EXPECT_EQ(commit.kind(), OutcomeKind::kDone);
   EXPECT_TRUE(group->keeper(0).idle());
   EXPECT_EQ((*group)["a"].connections(), 0u);
--- a/testsuite/group_keeper/healthy_test.cc
+++ b/testsuite/group_keeper/healthy_test.cc
@@ -1,4 +1,4 @@
-// A keeper on a group where nothing fails.
+// A keeper of a group without failures.
 
 #include <gtest/gtest.h>
 
--- a/testsuite/group_outcomes/at_most_once_test.cc
+++ b/testsuite/group_outcomes/at_most_once_test.cc
@@ -1,4 +1,4 @@
-// Lost answers, repeats, and what a session may see.
+// Lost answers, repeated requests, and what a session may read.
 
 #include <gtest/gtest.h>
 
@@ -11,8 +11,9 @@
 using core::Reason;
 using std::chrono::seconds;
 
-// The connection breaks after a work order ran and before its answer came. The
-// keeper must not send it again; the primary's record tells that it was done.
+// The connection breaks after a write ran and before its answer arrived. The
+// keeper must not send the write again; the primary's record shows that it is
+// done.
 TEST(AtMostOnce, ALostAnswerIsFoundInTheRecordWithoutSendingAgain) {
   auto group = ReadyGroup();
   group->keeper(0).network().lose_answer = 1;
@@ -27,10 +28,10 @@
   EXPECT_EQ(Text(group->HealAndCheck()), "");
 }
 
-// The keeper freezes with a caller's write in its queue; the caller gives up,
-// asks another keeper, which fences the id. The first one wakes and sends the
-// write after all.
-TEST(AtMostOnce, AFencedWriteThatASleepingKeeperSendsLateIsRefused) {
+// A keeper freezes with a write in its queue. The caller asks another keeper,
+// which fences the request id; then the first keeper resumes and sends the
+// write.
+TEST(AtMostOnce, AFencedWriteThatAFrozenKeeperSendsLateIsRefused) {
   auto group = ReadyGroup();
   group->AddKeeper();
   group->time().RunFor(seconds(1));
@@ -49,8 +50,8 @@
   EXPECT_EQ(Text(group->HealAndCheck()), "");
 }
 
-// A caller that knows nothing of its first sending repeats it through another
-// keeper.
+// The caller repeats a request through another keeper while the first attempt
+// is still running.
 TEST(AtMostOnce, ARepeatThroughAnotherKeeperIsAnsweredFromTheRecord) {
   auto group = ReadyGroup();
   group->AddKeeper();
@@ -66,10 +67,10 @@
   EXPECT_EQ(Text(group->HealAndCheck()), "");
 }
 
-// A keeper that sees only the cut-off primary has a write run there, where no
-// replica confirms it. Its caller repeats it through another keeper, under the
-// new primary. When the first keeper learns that its entry was discarded, the
-// write itself was done all the same: "not run" would have it ordered again.
+// A keeper that reaches only the partitioned primary runs a write there, which
+// no replica confirms. The caller repeats it through another keeper under the
+// new primary. When the first keeper finds its entry discarded, it must not
+// answer "not run": the caller would issue the write a second time.
 TEST(AtMostOnce, ADiscardedWriteThatWasRepeatedElsewhereIsDone) {
   auto group = ReadyGroup();
   group->AddKeeper();
@@ -90,7 +91,7 @@
   EXPECT_EQ(group->asked(first).answer->kind(), OutcomeKind::kDone);
 }
 
-// A statement outlives its caller's patience. Its answer must not reach the
+// A statement runs past its caller's deadline. Its answer must not reach the
 // next caller on the same connection.
 TEST(NoMixing, AConnectionWithAnUnfinishedStatementIsClosed) {
   auto group = ReadyGroup();
@@ -109,9 +110,9 @@
   EXPECT_EQ(Text(group->HealAndCheck()), "");
 }
 
-// The primary was replaced while a transaction was open on it. Its commit is
-// refused, and nobody knows what the connection still carries: a later
-// statement on it could become part of the old transaction.
+// The primary is replaced while a transaction is open on it, and the commit is
+// refused. The state of the connection is unknown: a later statement on it
+// could become part of the old transaction.
 TEST(NoMixing, AConnectionOfATransactionInDoubtIsClosed) {
   auto group = ReadyGroup();
   core::StatementRequest request = group->Write(seconds(1));
@@ -133,8 +134,8 @@
   EXPECT_EQ(Text(group->HealAndCheck()), "");
 }
 
-// A session read an unacknowledged write on the primary, and a promotion then
-// discarded it. A read that waited for that position would wait for ever.
+// A session read an unacknowledged write on the primary, which a promotion then
+// discarded. A read that requires that position would never be served.
 TEST(Sessions, APositionThatAPromotionDiscardedIsCutBack) {
   auto group = ReadyGroup();
   (*group)["a"].peers_cut = true;
@@ -150,9 +151,9 @@
   EXPECT_EQ(group->asked(read).answer->kind(), OutcomeKind::kDone);
 }
 
-// One keeper sees only the old primary, another has promoted a replica. The
-// first cannot know; a read that accepts no age must not be served by what it
-// takes for the primary, or a gate lets in a card that was just revoked.
+// One keeper reaches only the old primary while another has promoted a replica.
+// The first cannot detect that, so a read with max_age 0 must not be served by
+// the old primary: it would miss writes acknowledged by the new one.
 TEST(Sessions, AReplacedPrimaryServesNoReadOfAgeZero) {
   auto group = ReadyGroup();
   group->AddKeeper();
@@ -172,8 +173,8 @@
   EXPECT_EQ(group->asked(read).answer->kind(), OutcomeKind::kNotRun);
 }
 
-// One replica is seconds behind. Reads go to the other and nobody waits.
-TEST(Sessions, OneReplicaFarBehindHurtsNobody) {
+// One replica lags by seconds. Reads go to the other one without delay.
+TEST(Sessions, OneReplicaFarBehindDelaysNoRead) {
   auto group = ReadyGroup();
   (*group)["b"].shape().lag = seconds(10);
   const uint64_t before = group->keeper(0).executes;
--- a/testsuite/group_outcomes/confirmation_test.cc
+++ b/testsuite/group_outcomes/confirmation_test.cc
@@ -1,4 +1,4 @@
-// What positions tell, without a group around it.
+// Unit tests of the confirmation tracker and of the proposer.
 
 #include "ryefold/core/group/confirmation.h"
 
@@ -21,14 +21,14 @@
   return status;
 }
 
-ConfirmationTracker OfThree() {
+ConfirmationTracker MakeTrackerOfThree() {
   ConfirmationTracker confirmation;
   confirmation.SetDatabases({"a", "b", "c"});
   return confirmation;
 }
 
 TEST(Confirmation, AWriteIsKeptOnceAReplicaHoldsItToo) {
-  ConfirmationTracker confirmation = OfThree();
+  ConfirmationTracker confirmation = MakeTrackerOfThree();
   confirmation.RecordStatus("a", Status("a", 1, {{1, 1}}, {1, 5}), kSent);
   EXPECT_EQ(confirmation.ClassifyEntry({1, 5}), LogEntryState::kPending);
   confirmation.RecordStatus("b", Status("b", 1, {{1, 1}}, {1, 4}), kSent);
@@ -36,12 +36,12 @@
   EXPECT_EQ(confirmation.ClassifyEntry({1, 5}), LogEntryState::kPending);
 }
 
-// A write of term 2 was made by a primary that reached nobody. The database
-// that took over in term 3 had a longer log of term 1, so the write's index
-// lies below the start of term 3, in a log that never held the write. By the
-// index alone its caller would be told "done".
+// A write of term 2 reached no replica. The database promoted in term 3 has a
+// longer log of term 1, so the write's index precedes the start of term 3 in a
+// log that never contained the write. Comparing indexes alone would report it
+// as done.
 TEST(Confirmation, AnIndexBelowTheNewTermIsNotEnoughToBeKept) {
-  ConfirmationTracker confirmation = OfThree();
+  ConfirmationTracker confirmation = MakeTrackerOfThree();
   const std::vector<TermStart> starts = {{1, 1}, {3, 9}};
   confirmation.RecordStatus("b", Status("b", 3, starts, {3, 9}), kSent);
   confirmation.RecordStatus("c", Status("c", 3, starts, {3, 9}), kSent);
@@ -49,10 +49,10 @@
   EXPECT_EQ(confirmation.ClassifyEntry({1, 6}), LogEntryState::kConfirmed);
 }
 
-// The new primary's log shows a write as discarded. Until a second database
-// has an entry of the new term, a third term can still bring the write back.
+// The new primary's log shows a write as discarded. Until a second database has
+// an entry of the new term, a third term can bring the write back.
 TEST(Confirmation, ANewTermOnOneDatabaseDecidesNothing) {
-  ConfirmationTracker confirmation = OfThree();
+  ConfirmationTracker confirmation = MakeTrackerOfThree();
   confirmation.RecordStatus("b", Status("b", 2, {{1, 1}, {2, 5}}, {2, 5}),
                             kSent);
   confirmation.RecordStatus("c", Status("c", 2, {{1, 1}}, {1, 4}), kSent);
@@ -62,10 +62,10 @@
   EXPECT_EQ(confirmation.ClassifyEntry({1, 7}), LogEntryState::kDiscarded);
 }
 
-// A majority holds an entry of an older term, but one database has an entry of
-// a newer term without it and can still be promoted over both.
+// A majority holds an entry of an older term, but one database holds an entry
+// of a newer term without it and can be promoted over both.
 TEST(Confirmation, EntriesOfAnOlderTermAreNotCountedByThemselves) {
-  ConfirmationTracker confirmation = OfThree();
+  ConfirmationTracker confirmation = MakeTrackerOfThree();
   confirmation.RecordStatus("c", Status("c", 3, {{1, 1}, {3, 5}}, {3, 5}),
                             kSent);
   confirmation.RecordStatus("a", Status("a", 3, {{1, 1}, {2, 5}}, {2, 6}),
@@ -75,8 +75,8 @@
   EXPECT_EQ(confirmation.ClassifyEntry({2, 6}), LogEntryState::kPending);
 }
 
-// The databases' last entries are of different terms, and the longer log is
-// the older one: what a majority acknowledged is in the shorter.
+// The last entries are of different terms, and the longer log is the older one:
+// writes acknowledged by a majority are in the shorter log.
 TEST(Proposal, TheLaterTermGoesBeforeTheLongerLog) {
   Promotion promotion("instance#1", {}, 1);
   const TimePoint now = kSent + std::chrono::seconds(1);
@@ -93,8 +93,8 @@
   EXPECT_EQ(calls.front().database, "c");
 }
 
-// Two databases refuse the term for a higher one that they have adopted. To
-// promote the one that accepted would give the group a second primary.
+// Two databases refuse the term because they have adopted a higher one.
+// Promoting the one that accepted would give the group a second primary.
 TEST(Proposal, NothingIsPromotedWithoutAMajority) {
   Promotion promotion("instance#1", {}, 1);
   const TimePoint now = kSent + std::chrono::seconds(1);
@@ -113,9 +113,9 @@
   EXPECT_EQ(promotion.term(), term + 2);
 }
 
-// The cut-off primary is reachable and reports the furthest log, but must not
-// be chosen; the two others make a majority by themselves.
-TEST(Proposal, ABarredDatabaseIsNotChosenThoughItIsFurthest) {
+// The partitioned primary is reachable and reports the furthest log, but must
+// not be chosen; the other two are a majority.
+TEST(Proposal, AnIneligibleDatabaseIsNotChosenThoughItIsFurthest) {
   Promotion promotion("instance#1", {}, 1);
   const TimePoint now = kSent + std::chrono::seconds(1);
   promotion.Start(now, 1, {{"a", false, true}, {"b"}, {"c"}});
@@ -133,8 +133,8 @@
   EXPECT_EQ(calls.front().database, "b");
 }
 
-// Only the cut-off primary and a replica behind it are left. The replica lacks
-// what the two may have acknowledged together, so it must not be promoted.
+// Only the partitioned primary and a replica behind it are left. The replica
+// may lack writes that both acknowledged, so it must not be promoted.
 TEST(Proposal, AMajorityFurtherThanTheCandidateForbidsIt) {
   Promotion promotion("instance#1", {}, 1);
   const TimePoint now = kSent + std::chrono::seconds(1);
--- a/testsuite/group_outcomes/second_failure_test.cc
+++ b/testsuite/group_outcomes/second_failure_test.cc
@@ -1,5 +1,5 @@
-// A second failure right after a promotion, before a majority holds the new
-// term's first entry.
+// A second failure right after a promotion, before a majority holds the first
+// entry of the new term.
 
 #include <gtest/gtest.h>
 
@@ -12,22 +12,22 @@
 using core::Reason;
 using std::chrono::seconds;
 
-/// The third database follows so far behind that it never gets the new term.
+/// Lag with which the third database never receives the new term.
 constexpr seconds kFarBehind{30};
 
-/// The new primary dies, the old one is back: the next is chosen from it and
-/// the one far behind.
-void LoseNewPrimaryAndReturn(FakeGroup& group) {
+/// Kills the new primary and brings the old one back: the next primary is
+/// chosen from the old one and the lagging one.
+void KillNewPrimaryAndRestoreOld(FakeGroup& group) {
   group.Kill("b");
   if (group["a"].dead) group["a"].Revive();
   group["a"].peers_cut = false;
 }
 
-// The primary is cut off with a write that only it holds. A replica takes over
-// and its log says that the write is discarded, but no other database has an
-// entry of the new term when the new primary dies in turn. The old primary is
-// promoted again and brings the write back. Had its caller been told "not
-// run", a crew would be sent twice.
+// The primary is partitioned with a write that only it holds. A replica is
+// promoted and its log shows the write as discarded, but it dies before another
+// database has an entry of the new term. The old primary is promoted again and
+// brings the write back. After an answer "not run", the caller would have
+// issued the write a second time.
 TEST(SecondFailure, BringsBackNothingThatWasCalledNotRun) {
   auto group = ReadyGroup();
   (*group)["c"].shape().lag = kFarBehind;
@@ -37,7 +37,7 @@
   ASSERT_EQ(group->primary()->name(), "b");
   ASSERT_EQ((*group)["c"].log().last().term, 1u);
   EXPECT_FALSE(group->asked(write).answer.has_value());
-  LoseNewPrimaryAndReturn(*group);
+  KillNewPrimaryAndRestoreOld(*group);
   group->time().RunFor(seconds(5));
   EXPECT_EQ(group->primary()->name(), "a");
   EXPECT_EQ(Text(group->HealAndCheck()), "");
@@ -45,9 +45,9 @@
   EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kDone);
 }
 
-// The new primary runs a write whose answer is lost, and its record tells that
-// it was done. No other database holds it yet when the new primary dies. Had
-// its caller been told "done", a card that was paid for would be gone.
+// The new primary runs a write whose answer is lost, and its record shows the
+// write as done. It dies before any other database holds the write. After an
+// answer "done", an acknowledged write would be lost.
 TEST(SecondFailure, LosesNothingThatWasCalledDone) {
   auto group = ReadyGroup();
   (*group)["c"].shape().lag = kFarBehind;
@@ -61,16 +61,16 @@
   group->time().RunFor(milliseconds(200));
   ASSERT_TRUE((*group)["b"].log().Contains(group->asked(write).request.sql));
   EXPECT_FALSE(group->asked(write).answer.has_value());
-  LoseNewPrimaryAndReturn(*group);
+  KillNewPrimaryAndRestoreOld(*group);
   group->time().RunFor(seconds(5));
   EXPECT_EQ(Text(group->HealAndCheck()), "");
   ASSERT_TRUE(group->asked(write).answer.has_value());
   EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kNotRun);
 }
 
-// The old primary dies holding a write whose answer never came. The new one
-// knows nothing of it and fences its id, but dies before any other database
-// holds the fence. The old primary comes back with the write.
+// The old primary dies with a write whose answer never arrived. The new primary
+// has no record of it and fences the id, but dies before another database holds
+// the fence. The old primary comes back with the write.
 TEST(SecondFailure, AFenceThatOnlyOneDatabaseHoldsProvesNothing) {
   auto group = ReadyGroup();
   (*group)["c"].shape().lag = kFarBehind;
@@ -85,7 +85,7 @@
   ASSERT_EQ(group->primary()->name(), "b");
   EXPECT_EQ((*group)["b"].log().entries().back().kind, EntryKind::kFence);
   EXPECT_FALSE(group->asked(write).answer.has_value());
-  LoseNewPrimaryAndReturn(*group);
+  KillNewPrimaryAndRestoreOld(*group);
   group->time().RunFor(seconds(5));
   EXPECT_EQ(group->primary()->name(), "a");
   EXPECT_EQ(Text(group->HealAndCheck()), "");
@@ -93,9 +93,9 @@
   EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kDone);
 }
 
-// Another keeper has fenced the id, but only the primary holds the fence. The
-// primary refuses the write for it; until a majority holds the fence, the
-// refusal is as weak as the fence.
+// Another keeper has fenced the id, but only the primary holds the fence and
+// refuses the write because of it. Until a majority holds the fence, the
+// refusal can be lost with it.
 TEST(SecondFailure, ARefusalByAnUnconfirmedFenceIsNotPassedOn) {
   auto group = ReadyGroup();
   group->AddKeeper();
--- a/testsuite/group_outcomes/slow_replicas_test.cc
+++ b/testsuite/group_outcomes/slow_replicas_test.cc
@@ -1,4 +1,4 @@
-// Writes that wait for replicas, and reads whose replica goes away.
+// Writes that wait for replicas, and reads whose replica fails.
 
 #include <gtest/gtest.h>
 
@@ -11,8 +11,8 @@
 using core::Reason;
 using std::chrono::seconds;
 
-// Both replicas are half a second behind. Writes that wait for them must not
-// keep the primary's few slots busy, or everybody else would wait too.
+// Both replicas lag by half a second. Writes that wait for them must not occupy
+// the primary's few slots, or all other requests would wait as well.
 TEST(SlowReplicas, AWriteWaitingForThemHoldsNoSlot) {
   auto group = ReadyGroup();
   (*group)["b"].shape().lag = milliseconds(500);
@@ -36,9 +36,8 @@
   }
 }
 
-// Replicas are further behind than callers can wait. The first learns at its
-// deadline that the outcome is unknown; those after it are told beforehand,
-// while nothing has been sent.
+// Replicas lag longer than callers can wait. The first write ends with an
+// unknown outcome at its deadline; later ones are refused before they are sent.
 TEST(SlowReplicas, AWriteThatCannotBeConfirmedInTimeIsRefusedBeforehand) {
   auto group = ReadyGroup();
   (*group)["b"].shape().lag = milliseconds(600);
@@ -58,7 +57,7 @@
   EXPECT_EQ(Text(group->HealAndCheck()), "");
 }
 
-// A replica dies with a read under way. Another can answer it.
+// A replica dies with a read in flight. Another one can answer it.
 TEST(SlowReplicas, AReadOnADyingReplicaIsServedByAnother) {
   auto group = ReadyGroup();
   const auto read =
--- a/testsuite/group_promotion/promotion_test.cc
+++ b/testsuite/group_promotion/promotion_test.cc
@@ -1,4 +1,4 @@
-// Losing and replacing a primary, step by step.
+// Loss and replacement of a primary.
 
 #include <gtest/gtest.h>
 
@@ -11,14 +11,14 @@
 using core::Reason;
 using std::chrono::seconds;
 
-// The primary's process dies with writes under way. Callers that have time are
-// served by the next primary; nobody waits for the dead one.
+// The primary crashes with writes in flight. Callers with time left are served
+// by the next primary, without waiting for the old one.
 TEST(Promotion, AKilledPrimaryIsReplacedAndWaitingWritesGoOn) {
   auto group = ReadyGroup();
   group->Kill("a");
   const auto write =
       group->Send(0, group->Write(seconds(2), /*repeatable=*/true));
-  // May reach no database a second time: the new primary fences its id.
+  // Must not be sent twice: the new primary fences its id.
   const auto once = group->Send(0, group->Write(seconds(2)));
   group->time().RunFor(milliseconds(100));
   ASSERT_TRUE(group->asked(write).answer.has_value());
@@ -30,9 +30,9 @@
   EXPECT_EQ(Text(group->HealAndCheck()), "");
 }
 
-// A network partition takes the primary from its peers, but it still accepts
-// connections and runs writes. If one were acknowledged, the promotion of a
-// replica would lose it.
+// A partition separates the primary from its replicas, but it still accepts
+// connections and runs writes. A write acknowledged by it would be lost in the
+// promotion of a replica.
 TEST(Promotion, APrimaryCutOffFromItsPeersGetsNoWriteAcknowledged) {
   auto group = ReadyGroup();
   (*group)["a"].peers_cut = true;
@@ -42,7 +42,7 @@
   EXPECT_FALSE(group->asked(write).answer.has_value());
   group->time().RunFor(seconds(3));
   ASSERT_TRUE(group->asked(write).answer.has_value());
-  // It was in the old primary's log only, so it was discarded and fenced.
+  // The entry was in the old primary's log only, so it is discarded and fenced.
   EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kNotRun);
   EXPECT_EQ(group->asked(write).answer->reason(), Reason::kDiscarded);
   const auto next = group->Send(0, group->Write(seconds(1)));
@@ -51,8 +51,8 @@
   EXPECT_EQ(Text(group->HealAndCheck()), "");
 }
 
-// With two databases gone nobody can be promoted. A caller that was left to
-// wait for its deadline would hang for nothing; it hears so at once.
+// With two of three databases lost, no promotion is possible. Callers are
+// refused at once instead of waiting for their deadlines.
 TEST(Promotion, WithoutAMajorityWritesAreRefusedAtOnce) {
   auto group = ReadyGroup();
   group->Kill("a");
@@ -65,9 +65,9 @@
   EXPECT_GT(group->asked(write).answer->retry_after(), milliseconds(0));
 }
 
-// The primary dies and its replacement takes a while over a slow network. A
-// caller whose deadline comes before the new primary can be there is told so
-// at once, with when to come back, instead of at its deadline.
+// The primary dies and its replacement takes long over a slow network. A
+// request whose deadline precedes the expected end of the outage is refused at
+// once, with a retry hint, instead of at its deadline.
 TEST(Promotion, ARequestThatCannotOutlastTheGapIsRefusedAtOnce) {
   auto group = ReadyGroup();
   group->keeper(0).extra_delay["b"] = milliseconds(150);
@@ -78,18 +78,20 @@
   group->time().RunFor(milliseconds(30));
   ASSERT_TRUE(group->asked(waiting).answer.has_value());
   EXPECT_EQ(group->asked(waiting).answer->reason(), Reason::kNoPrimary);
-  const auto brief = group->Send(0, group->Write(milliseconds(100)));
-  EXPECT_EQ(group->asked(brief).answered_at, group->asked(brief).at);
-  ASSERT_TRUE(group->asked(brief).answer.has_value());
-  EXPECT_EQ(group->asked(brief).answer->reason(), Reason::kNoPrimary);
-  EXPECT_GT(group->asked(brief).answer->retry_after(), milliseconds(0));
-  const auto patient = group->Send(0, group->Write(seconds(3)));
+  const auto short_deadline = group->Send(0, group->Write(milliseconds(100)));
+  EXPECT_EQ(group->asked(short_deadline).answered_at,
+            group->asked(short_deadline).at);
+  ASSERT_TRUE(group->asked(short_deadline).answer.has_value());
+  EXPECT_EQ(group->asked(short_deadline).answer->reason(), Reason::kNoPrimary);
+  EXPECT_GT(group->asked(short_deadline).answer->retry_after(),
+            milliseconds(0));
+  const auto long_deadline = group->Send(0, group->Write(seconds(3)));
   group->time().RunFor(seconds(3));
-  EXPECT_EQ(group->asked(patient).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(group->asked(long_deadline).answer->kind(), OutcomeKind::kDone);
 }
 
-// Statements hang for three seconds behind a lock, though the database is
-// well. A promotion would cut off everything and make no statement faster.
+// Statements hang for three seconds behind a lock on a healthy database. A
+// promotion would abort all of them and make none faster.
 TEST(Promotion, StalledStatementsCauseNone) {
   auto group = ReadyGroup();
   (*group)["a"].stall = seconds(3);
@@ -101,8 +103,8 @@
   EXPECT_EQ(Promotions(*group), 0u);
 }
 
-// Every packet to and from the primary takes half a second more, in a group
-// that is idle, so that each status call also waits inside the database.
+// Each packet to and from the primary is delayed by 500 ms in an idle group,
+// where each status call also waits inside the database.
 TEST(Promotion, ASlowNetworkCausesNone) {
   auto group = ReadyGroup();
   group->keeper(0).extra_delay["a"] = milliseconds(500);
@@ -117,16 +119,17 @@
   EXPECT_EQ(Promotions(*group), 0u);
 }
 
-// A keeper freezes in the middle of a promotion; another finishes the job.
-// When the first wakes it goes on where it stopped, with an old term. If that
-// were obeyed, the group would have two primaries.
+// A keeper freezes during a promotion and another one completes it. The first
+// resumes with an old term; if its calls were accepted, the group would have
+// two primaries.
 TEST(Promotion, AProposerThatWakesLateIsHarmless) {
   for (int pause_us = 0; pause_us < 4000; pause_us += 250) {
     auto group = ReadyGroup();
     group->AddKeeper();
     group->time().RunFor(seconds(1));
     group->Kill("a");
-    // Loss is noticed some 52 ms after the kill; freeze it thereabouts.
+    // The loss is detected about 52 ms after the kill; the freeze falls around
+    // it.
     group->time().RunFor(milliseconds(52) +
                          std::chrono::microseconds(pause_us));
     group->FreezeKeeper(0);
@@ -145,7 +148,7 @@
   }
 }
 
-// Two keepers notice the loss in the same instant and propose the same term.
+// Two keepers detect the loss at the same time and propose the same term.
 TEST(Promotion, TwoProposersAtOnceEndWithOnePrimary) {
   for (uint64_t seed = 0; seed < 20; ++seed) {
     FakeGroup group(Tamworth(), seed);
@@ -163,7 +166,8 @@
 }
 
 // The keeper dies at any point of a promotion and leaves the group without a
-// primary, or with one that nobody follows. The next keeper has to see that.
+// primary, or with one that no replica follows. The next keeper has to detect
+// that.
 TEST(Promotion, AKeeperLostInTheMiddleIsSucceeded) {
   for (int after_us = 0; after_us < 6000; after_us += 250) {
     auto group = ReadyGroup();
--- a/testsuite/group_random/random_test.cc
+++ b/testsuite/group_random/random_test.cc
@@ -1,9 +1,9 @@
-// Random faults, one or several keepers, callers that repeat and ask: what
-// callers were told is held against the databases' own logs.
+// Random faults with one or several keepers, and callers that repeat requests
+// and ask for outcomes: the answers are checked against the databases' logs.
 
 #include <gtest/gtest.h>
 
-// clang-format off: it needs gtest before it.
+// clang-format off: rapidcheck/gtest.h needs gtest.h before it.
 #include <rapidcheck/gtest.h>
 // clang-format on
 
@@ -33,13 +33,13 @@
 namespace ryefold::test {
 namespace {
 
-// Databases die, freeze, lag and lose each other; answers come late or never;
-// keepers freeze, die, come back or run side by side, and promotions race. A
-// user would notice a lost or doubled write, a write that shows up though it
-// was refused, a read without the session's own write, or no answer at all.
+// Databases die, freeze, lag and get partitioned; answers are late or lost;
+// keepers freeze, die, return or run side by side, and promotions race. Fails
+// on a lost or doubled write, a write that appears after it was refused, a read
+// without the session's own write, or a missing answer.
 RC_GTEST_PROP(RandomFaults, WhatCallersAreToldIsTrue, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
-  // Ranges grow with the size, so a small size would never draw most kinds.
+  // Ranges grow with the size; a small size would never draw most fault kinds.
   const auto count = *rc::gen::resize(100, rc::gen::inRange<size_t>(0, 12));
   const auto faults = *rc::gen::container<std::vector<Fault>>(
       count, rc::gen::resize(100, rc::gen::arbitrary<Fault>()));
