--- a/src/include/ryefold/core/group/keeper.h
+++ b/src/include/ryefold/core/group/keeper.h
@@ -170,7 +170,7 @@
 
   /// Returns whether the keeper has stepped down and released all its
   /// connections.
-  bool idle() const;
+  bool HasSteppedDown() const;
 
   KeeperView view(TimePoint now) const;
 
--- a/src/libcore/group/keeper.cc
+++ b/src/libcore/group/keeper.cc
@@ -285,7 +285,7 @@
   return next;
 }
 
-bool Keeper::Impl::idle() const { return stepped_down_; }
+bool Keeper::Impl::HasSteppedDown() const { return stepped_down_; }
 
 KeeperView Keeper::Impl::view(TimePoint now) const {
   KeeperView view;
@@ -337,7 +337,7 @@
   impl_->Handle(now, event, actions);
 }
 TimePoint Keeper::next_deadline() const { return impl_->next_deadline(); }
-bool Keeper::idle() const { return impl_->idle(); }
+bool Keeper::HasSteppedDown() const { return impl_->HasSteppedDown(); }
 KeeperView Keeper::view(TimePoint now) const { return impl_->view(now); }
 
 }  // namespace ryefold::core::group
--- a/src/libcore/group/keeper_impl.h
+++ b/src/libcore/group/keeper_impl.h
@@ -44,7 +44,7 @@
 
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions);
   TimePoint next_deadline() const;
-  bool idle() const;
+  bool HasSteppedDown() const;
   KeeperView view(TimePoint now) const;
 
  private:
--- a/src/ryefoldd/group_host.cc
+++ b/src/ryefoldd/group_host.cc
@@ -110,7 +110,9 @@
   Drive(core::group::RequestAbandoned{tag});
 }
 
-bool GroupHost::idle() const { return waiting_.empty() && keeper_.idle(); }
+bool GroupHost::idle() const {
+  return waiting_.empty() && keeper_.HasSteppedDown();
+}
 
 core::group::KeeperView GroupHost::view() const { return keeper_.view(Now()); }
 
--- a/testsuite/support/group/keeper_host.h
+++ b/testsuite/support/group/keeper_host.h
@@ -80,7 +80,7 @@
 
   bool alive() const { return keeper_ != nullptr; }
   bool frozen() const { return frozen_; }
-  bool idle() const { return keeper_ == nullptr || keeper_->idle(); }
+  bool idle() const { return keeper_ == nullptr || keeper_->HasSteppedDown(); }
   core::group::KeeperView view() const { return keeper_->view(queue_->now()); }
   NetworkShape& network() { return network_; }
   /// More delay each way to one database.
