--- a/src/libcore/group/keeper_requests.cc
+++ b/src/libcore/group/keeper_requests.cc
@@ -248,7 +248,7 @@
   const routing::Route route = reads_.ChooseRoute(now_, context, pending->read,
                                                   pending->request.deadline);
   if (route.kind == routing::RouteKind::kWait) {
-    next_read_check_ = std::min(next_read_check_, route.look_again);
+    next_read_check_ = std::min(next_read_check_, route.retry_at);
   }
   if (route.kind != routing::RouteKind::kServe) return false;
   if (!shares(route.database)
--- a/src/libcore/group/reads.cc
+++ b/src/libcore/group/reads.cc
@@ -29,7 +29,7 @@
                                         const LogPosition& last) {
   // The primary had reached no more than `last` when the call was sent, and may
   // have advanced since.
-  ages_.PrimaryAt(sent, last);
+  ages_.RecordPrimary(sent, last);
   if (!samples_.empty() && last <= samples_.back().position) return;
   samples_.push_back({last, now});
   if (samples_.size() > kMaxPrimarySamples) samples_.pop_front();
@@ -87,9 +87,9 @@
                                         const ReadContext& context,
                                         const ReadState& read,
                                         TimePoint deadline) const {
-  routing::ReadNeeds needs;
+  routing::ReadRequirements needs;
   needs.max_age = read.max_age;
-  needs.near = preferred_domain_;
+  needs.near_domain = preferred_domain_;
   needs.deadline = deadline;
   needs.seen = read.seen;
   if (const DatabaseStatus* primary = context.health.status(context.primary)) {
@@ -119,7 +119,7 @@
         HoldsEntry(status->last, status->term_starts, *read.fresh_position);
     candidate.age =
         is_fresh ? milliseconds(0)
-                 : ages_.AgeAt(now, status->last, context.term_confirmed_at);
+                 : ages_.AgeBound(now, status->last, context.term_confirmed_at);
     if (!is_fresh && read.max_age == milliseconds(0)) {
       candidate.age = std::max(candidate.age, milliseconds(1));
     }
@@ -128,7 +128,7 @@
     }
     candidates.push_back(std::move(candidate));
   }
-  return routing::ChooseForRead(now, needs, candidates);
+  return routing::ChooseReadRoute(now, needs, candidates);
 }
 
 bool ReadPlanner::StartRoundIfDue(TimePoint now, const ReadContext& context,
@@ -151,7 +151,7 @@
                               const std::string& database) const {
   const DatabaseStatus* status = context.health.status(database);
   if (status == nullptr) return milliseconds(0);
-  return std::min(ages_.AgeAt(now, status->last, now), kMaxReportedLag);
+  return std::min(ages_.AgeBound(now, status->last, now), kMaxReportedLag);
 }
 
 }  // namespace ryefold::core::group
