--- a/src/libcore/session/proxy_callers.cc
+++ b/src/libcore/session/proxy_callers.cc
@@ -32,8 +32,7 @@
   // Other instances are usually further in their start-up, also after a power
   // loss: a refused caller is served elsewhere sooner than it would be here.
   if (!IsInitialized()) {
-    port_->CloseCaller(id, ErrorCode::kBusy,
-                       "instance is starting, configuration not loaded");
+    port_->CloseCaller(id, ErrorCode::kBusy, "no configuration yet");
     return;
   }
   const std::shared_ptr<const Route> found = RouteOf(route);
@@ -109,14 +108,13 @@
   const TransactionState state = caller->state;
   if (state == TransactionState::kFailed) {
     if (!IsTransactionEnd(statement.kind)) {
-      AnswerLocally(caller, ErrorCode::kMalformed,
-                    "transaction has failed, expected COMMIT or ROLLBACK");
+      AnswerLocally(caller, ErrorCode::kMalformed, "transaction has failed");
       return true;
     }
     EndTransaction(now, caller, /*roll_back=*/true);
     const bool commit = statement.kind == StatementKind::kCommit;
     AnswerLocally(caller, commit ? ErrorCode::kAborted : ErrorCode::kNone,
-                  commit ? "transaction has failed and was rolled back" : "");
+                  commit ? "rolled back" : "");
     return true;
   }
   switch (statement.kind) {
@@ -138,7 +136,7 @@
       AnswerLocally(caller, ErrorCode::kNone, "");
       return true;
     case StatementKind::kMalformed:
-      AnswerLocally(caller, ErrorCode::kMalformed, "malformed statement");
+      AnswerLocally(caller, ErrorCode::kMalformed, "cannot be read");
       return true;
     default:
       break;
@@ -146,9 +144,8 @@
   const bool open = state == TransactionState::kOpen;
   if (open ? IsBegin(statement.kind)
            : statement.kind == StatementKind::kCommit) {
-    AnswerLocally(
-        caller, ErrorCode::kMalformed,
-        open ? "a transaction is already open" : "no transaction is open");
+    AnswerLocally(caller, ErrorCode::kMalformed,
+                  open ? "transaction is open" : "no transaction is open");
     return true;
   }
   return false;
@@ -448,7 +445,7 @@
     CallerDisconnected(now, id);
     if (adopted) continue;  // The reply to its next statement reports the end.
     port_->CloseCaller(id, open ? ErrorCode::kAborted : ErrorCode::kNone,
-                       "instance is shutting down");
+                       "instance is leaving");
   }
 }
 
--- a/src/libcore/session/proxy_confirming.cc
+++ b/src/libcore/session/proxy_confirming.cc
@@ -210,8 +210,7 @@
     } else if (group->term > position.term) {
       // The primary was replaced; whether its successor had received the commit
       // can no longer be determined.
-      FinishInDoubt(now, request,
-                    "primary replaced before a replica confirmed the commit");
+      FinishInDoubt(now, request, "primary replaced");
     }
   }
   if (group->writes_held_position == LogPosition()) return;
--- a/src/libcore/session/proxy_forwarding.cc
+++ b/src/libcore/session/proxy_forwarding.cc
@@ -292,7 +292,7 @@
       // both cases the database has rolled it back.
       Reply reply;
       reply.error = ErrorCode::kAborted;
-      reply.error_text = "transaction no longer exists";
+      reply.error_text = "transaction is gone";
       reply.state = TransactionState::kFailed;
       forwarder_->AnswerForwarded(id, reply);
       return;
@@ -305,7 +305,7 @@
   if (!IsAdoptedKeyValid(forwarded)) {
     Reply reply;
     reply.error = ErrorCode::kUnknownKey;
-    reply.error_text = "key was revoked";
+    reply.error_text = "key was taken away";
     if (caller->state == TransactionState::kOpen) {
       EndTransaction(now, caller, /*roll_back=*/true);
     }
--- a/src/libcore/session/proxy_identity.cc
+++ b/src/libcore/session/proxy_identity.cc
@@ -82,7 +82,7 @@
     EndTransaction(now, caller, /*roll_back=*/true);
   }
   caller->state = TransactionState::kIdle;
-  AnswerLocally(caller, ErrorCode::kUnknownKey, "key was revoked");
+  AnswerLocally(caller, ErrorCode::kUnknownKey, "key was taken away");
 }
 
 void Proxy::Impl::CloseRevokedSessions(TimePoint now) {
@@ -95,7 +95,7 @@
     CallerDisconnected(now, id);
     revoked_callers_.erase(id);
     if (adopted) continue;  // The reply to its next statement reports the end.
-    port_->CloseCaller(id, ErrorCode::kUnknownKey, "key was revoked");
+    port_->CloseCaller(id, ErrorCode::kUnknownKey, "key was taken away");
   }
 }
 
--- a/src/libcore/session/proxy_replies.cc
+++ b/src/libcore/session/proxy_replies.cc
@@ -352,11 +352,11 @@
       caller->transaction = Transaction();
     }
     reply.error = in_doubt ? ErrorCode::kInDoubt : ErrorCode::kAborted;
-    reply.error_text = "connection lost before the reply";
+    reply.error_text = "connection lost";
     FinishRequest(now, request, std::move(reply));
   } else if (request->writes) {
     reply.error = ErrorCode::kInDoubt;
-    reply.error_text = "connection lost before the reply";
+    reply.error_text = "connection lost";
     FinishRequest(now, request, std::move(reply));
   } else {
     RetryRequest(now, request);
@@ -366,7 +366,7 @@
 /// Handles the end of the route's statement timeout.
 void Proxy::Impl::TimeOut(TimePoint now, Request* request) {
   if (request->unconfirmed_reply.has_value()) {
-    FinishInDoubt(now, request, "no replica confirmed the commit in time");
+    FinishInDoubt(now, request, "no replica has received it");
     return;
   }
   if (request->unproved_reply.has_value()) {
@@ -381,7 +381,7 @@
   const bool commit = request->statement.kind == StatementKind::kCommit;
   Reply reply;
   reply.error = ErrorCode::kTimeout;
-  reply.error_text = "statement timed out";
+  reply.error_text = "no answer in time";
   if (request->requirement == Requirement::kTransaction) {
     // The connection is closed: a late reply must not be taken for the reply to
     // the next statement, and the database rolls back.
