--- a/src/include/ryefold/core/answer_limits.h
+++ b/src/include/ryefold/core/answer_limits.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// How long an answer is waited for.
+// Time limits of a call to another process.
 
 #include <chrono>
 
@@ -9,13 +9,13 @@
 namespace ryefold::core {
 
 struct AnswerLimits {
-  /// The call is given up then in any case.
+  /// The call fails at this time in any case.
   TimePoint deadline;
-  /// The call is given up once nothing has come for this long, reckoned from
-  /// when it was sent and then from each arrival; 0: no such limit. For calls
-  /// whose answers may take long to arrive: one that was sent to somebody who
-  /// takes calls and answers none would be waited for just as long, well after
-  /// the other side is back.
+  /// The call fails once nothing has arrived for this long, counted from
+  /// sending and then from each arrival; 0 disables the limit. For calls with
+  /// long deadlines: a peer that accepts a call but never answers would
+  /// otherwise block the caller until the deadline, long after the peer has
+  /// recovered.
   std::chrono::milliseconds silence{0};
 };
 
--- a/src/include/ryefold/core/event.h
+++ b/src/include/ryefold/core/event.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Structured events: one line for each decision that touches a request or
-// changes a belief, as `event=NAME key=value ...`.
+// Structured log events: one line for each decision about a request and each
+// change of state, as `event=NAME key=value ...`.
 
 #include <chrono>
 #include <cstdint>
@@ -10,24 +10,24 @@
 
 namespace ryefold::core {
 
-/// How much an event is worth when lines have to be left out.
+/// Importance of an event when log lines have to be dropped.
 enum class EventWeight : uint8_t {
-  kRequest,  ///< About one request; the first to be left out under load.
-  kState,    ///< A changed belief, a dependency lost or regained.
+  kRequest,  ///< Concerns one request; dropped first under load.
+  kState,    ///< A change of state, such as a dependency lost or regained.
 };
 
-/// Where events go. Implementations never block.
+/// Receives event lines. Implementations never block.
 class EventSink {
  public:
   virtual ~EventSink() = default;
-  /// Whether a line of this weight would be kept now. Lets the caller skip
-  /// the work of building one that would be dropped.
+  /// Returns whether a line of this weight would currently be kept. Lets the
+  /// caller skip formatting a line that would be dropped.
   virtual bool Wants(EventWeight weight) = 0;
   virtual void Write(EventWeight weight, std::string_view line) = 0;
 };
 
-/// Builds one line and hands it to the sink when it goes out of scope. A null
-/// sink, or one that does not want the line, makes every call free.
+/// Builds one line and passes it to the sink on destruction. With a null sink,
+/// or one that does not want the line, every call is a no-op.
 class Event {
  public:
   Event(EventSink* sink, EventWeight weight, std::string_view name)
@@ -41,7 +41,7 @@
   Event(const Event&) = delete;
   Event& operator=(const Event&) = delete;
 
-  /// Values with blanks are quoted.
+  /// Values that contain spaces are quoted.
   Event& Add(std::string_view key, std::string_view value) {
     if (sink_ == nullptr) return *this;
     line_.append(" ").append(key).append("=");
@@ -56,7 +56,7 @@
     if (sink_ == nullptr) return *this;
     return Add(key, std::to_string(value));
   }
-  /// A span of time, written in milliseconds.
+  /// Adds a duration in milliseconds.
   Event& Add(std::string_view key, std::chrono::steady_clock::duration span) {
     if (sink_ == nullptr) return *this;
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(span);
--- a/src/include/ryefold/core/messages.h
+++ b/src/include/ryefold/core/messages.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Typed messages between callers, instances and databases. Field shapes on
-// the wire are in docs/PROTOCOLS.md; codecs live in ryefold/wire.
+// Typed messages between callers, instances and databases. The wire formats are
+// described in docs/PROTOCOLS.md; the codecs are in ryefold/wire.
 
 #include <chrono>
 #include <cstdint>
@@ -16,35 +16,38 @@
 
 enum class StatementKind : uint8_t { kRead, kWrite };
 
-/// What a request asks for: one statement, or one end of a transaction.
+/// What a request asks for: a statement, or the begin or end of a transaction.
 enum class Step : uint8_t { kStatement, kBegin, kCommit, kRollback };
 
-/// One request of a caller, as the entry instance passes it to the keeper.
+/// One request of a caller, as the entry (the instance that the caller is
+/// connected to) passes it to the keeper (the instance that runs statements of
+/// the group).
 struct StatementRequest {
-  /// Chosen by the caller (or by the entry when absent); unique within the
-  /// workspace. A repeat carries the same id.
+  /// Chosen by the caller, or by the entry if the caller sent none; unique
+  /// within the workspace. A retry carries the same id.
   std::string request_id;
   std::string group;
   std::string workspace;
   Step step = Step::kStatement;
   StatementKind kind = StatementKind::kRead;
-  /// Whether the proxy may send it to a database more than once.
+  /// True if the proxy may send the statement to a database more than once.
   bool repeatable = false;
   std::string sql;
-  /// JSON array of parameters, passed on untouched.
+  /// JSON array of parameters, passed through unchanged.
   std::string params_json = "[]";
-  /// Id of the open transaction, empty outside of one.
+  /// Id of the open transaction; empty outside of a transaction.
   std::string transaction;
-  /// Data age the statement accepts; absent means the workspace's own.
+  /// Maximum age of the data that the statement accepts; if absent, the
+  /// workspace's default applies.
   std::optional<std::chrono::milliseconds> max_age;
-  /// What the caller's session has seen in this group.
+  /// Log position that the caller's session has seen in this group.
   LogPosition seen;
   TimePoint deadline;
 };
 
-/// Asks what became of a request whose answer was lost. The keeper answers
-/// done (with the recorded result), not run (the id is fenced from now on),
-/// or unknown.
+/// Asks for the outcome of a request whose answer was lost. The keeper answers
+/// done (with the recorded result), not run (the id is fenced from then on), or
+/// unknown.
 struct SettleRequest {
   std::string request_id;
   std::string group;
@@ -54,16 +57,16 @@
 
 // ---- calls on a database's statement connection ----
 
-/// One call on an open connection. A database refuses it without running it
-/// when `term` is below the term that it has adopted.
+/// One call on an open connection. A database rejects the call without running
+/// it if `term` is below the database's adopted term.
 struct ExecuteCall {
   uint64_t term = 0;
   Step step = Step::kStatement;
   StatementKind kind = StatementKind::kRead;
   std::string request_id;
   std::string workspace;
-  /// Keep a record of the request id in the write's own transaction, so that
-  /// a repeat is answered from it instead of being run again.
+  /// Store a record of the request id in the write's own transaction, so that a
+  /// retry is answered from the record instead of being run again.
   bool record = false;
   std::string sql;
   std::string params_json = "[]";
@@ -73,9 +76,9 @@
   kOk,
   kSqlError,    ///< Rejected by the SQL engine; nothing changed.
   kStaleTerm,   ///< Not run: the call's term is below the adopted one.
-  kNotPrimary,  ///< Not run: a write reached a database that is no primary.
+  kNotPrimary,  ///< Not run: a write was sent to a replica.
   kFenced,      ///< Not run: the request id was fenced.
-  kBadCall,     ///< Not run: malformed, or a step that does not fit.
+  kBadCall,  ///< Not run: malformed, or a step that is not valid in this state.
 };
 
 struct ExecuteAnswer {
@@ -83,11 +86,12 @@
   std::string error;
   /// `{"columns":[...],"rows":[[...]],"changes":n}`
   std::string result_json;
-  /// For a write: its own log entry. For a read: the last entry it saw.
+  /// For a write, the position of its log entry; for a read, of the last entry
+  /// visible to it.
   LogPosition position;
-  /// Answered from the record of an earlier run of the same request id.
+  /// True if answered from the record of an earlier run of the same request id.
   bool from_record = false;
-  /// The term the database has adopted.
+  /// The database's adopted term.
   uint64_t adopted_term = 0;
 };
 
@@ -95,28 +99,29 @@
 
 enum class DatabaseRole : uint8_t { kReplica, kPrimary };
 
-/// What a database says about itself.
+/// Status that a database reports about itself.
 struct DatabaseStatus {
   std::string database;
   DatabaseRole role = DatabaseRole::kReplica;
   uint64_t adopted_term = 0;
-  /// Who proposed the adopted term.
+  /// The instance that proposed the adopted term.
   std::string proposer;
-  /// Last entry of its log.
+  /// Position of the last entry of the log.
   LogPosition last;
-  /// Every term present in its log, oldest first.
+  /// Start of every term present in the log, oldest first.
   std::vector<TermStart> term_starts;
 };
 
-/// Answers once the database's (adopted term, last entry, role) differs from
-/// what is given here, at the latest after `wait`.
+/// Long poll for a status change: answered once the database's adopted term,
+/// last entry or role differs from the values given here, at the latest after
+/// `wait`.
 struct StatusCall {
   uint64_t known_term = 0;
   LogPosition known_last;
   std::chrono::milliseconds wait{0};
 };
 
-/// Asks a database to accept only `term` and later from now on.
+/// Asks a database to accept only calls of `term` or later from then on.
 struct AdoptCall {
   uint64_t term = 0;
   std::string proposer;
@@ -127,7 +132,7 @@
 };
 
 /// Makes a database the primary of a term that it has adopted from the same
-/// proposer; it begins the term with an entry of its own.
+/// proposer. The database starts the term with a log entry of its own.
 struct PromoteCall {
   uint64_t term = 0;
   std::string proposer;
@@ -146,9 +151,9 @@
   DatabaseStatus status;
 };
 
-/// Asks the primary of `term` what became of a request id, and fences the id
-/// when there is no record of it: a log entry is written that makes a later
-/// arrival of that id be refused.
+/// Asks the primary of `term` for the outcome of a request id. If there is no
+/// record of the id, the database fences it: a log entry makes it reject the id
+/// if the request arrives later.
 struct SettleCall {
   uint64_t term = 0;
   std::string request_id;
@@ -156,11 +161,11 @@
 };
 
 enum class SettleStatus : uint8_t {
-  kDone,        ///< A record was found; result and position are its own.
+  kDone,        ///< A record was found; result and position are taken from it.
   kFenced,      ///< No record; fenced by the entry at `position`.
-  kStaleTerm,   ///< Refused, as for execute.
-  kNotPrimary,  ///< Refused, as for execute.
-  kInProgress,  ///< It is running now, or its transaction is still open.
+  kStaleTerm,   ///< Rejected, as for execute.
+  kNotPrimary,  ///< Rejected, as for execute.
+  kInProgress,  ///< Still running, or its transaction is still open.
 };
 
 struct SettleAnswer {
@@ -171,7 +176,7 @@
 
 using ControlCall =
     std::variant<StatusCall, AdoptCall, PromoteCall, FollowCall, SettleCall>;
-/// `std::monostate` stands for "no answer": refused, reset or timed out.
+/// `std::monostate` stands for no answer: connection refused, reset or timeout.
 using ControlAnswer = std::variant<std::monostate, DatabaseStatus, AdoptAnswer,
                                    RoleAnswer, SettleAnswer>;
 
--- a/src/include/ryefold/core/policy.h
+++ b/src/include/ryefold/core/policy.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What operators have decided for groups and workspaces, in resolved form.
+// Resolved configuration of groups and workspaces.
 
 #include <chrono>
 #include <cstdint>
@@ -10,16 +10,18 @@
 
 namespace ryefold::core {
 
-/// What a keeper needs to know of one workspace.
+/// Scheduling and limits of one workspace, as a keeper uses them.
 struct WorkspacePolicy {
   std::string workspace;
-  /// Priority class, 0 is served first.
+  /// Priority class; 0 is served first.
   uint32_t priority = 0;
-  /// Share of the group's capacity within the class, relative to others.
+  /// Share of the group's capacity within the class, relative to other
+  /// workspaces.
   uint32_t weight = 1;
-  /// Connections this workspace may hold while others want theirs.
+  /// Number of connections that the workspace may hold while other workspaces
+  /// wait for one.
   uint32_t connection_share = 1;
-  /// Data age its reads accept unless the statement says otherwise.
+  /// Maximum data age for reads that do not specify one.
   std::chrono::milliseconds max_age{0};
 };
 
@@ -29,7 +31,7 @@
   /// "ip:port".
   std::string address;
   std::string failure_domain;
-  /// Listed as leaving by the platform: gets no new statement.
+  /// The platform lists the database as leaving: it gets no new statements.
   bool leaving = false;
 
   bool operator==(const DatabaseSpec&) const = default;
@@ -39,28 +41,29 @@
 struct GroupSpec {
   std::string group;
   std::vector<DatabaseSpec> databases;
-  /// Statements a database runs at once; the rest would wait inside it.
+  /// Statements that a database runs concurrently; further ones queue inside
+  /// it.
   uint32_t slots = 3;
-  /// Connections a database accepts altogether.
+  /// Connections that a database accepts in total.
   uint32_t connection_limit = 20;
   /// Connections kept free for a successor keeper and for open transactions.
   uint32_t connection_reserve = 6;
-  /// Time a new connection takes, used for planning only.
+  /// Expected time to open a connection; used for planning only.
   std::chrono::milliseconds connect_time{10};
-  /// Requests that may wait in the keeper's queue.
+  /// Maximum length of the keeper's queue, in requests.
   uint32_t queue_limit = 2000;
 };
 
-/// What a workspace's callers need to be let in.
+/// A workspace with the credentials of its callers.
 struct WorkspaceSpec {
   WorkspacePolicy policy;
   std::string group;
-  /// Hex of SHA-256(salt + key); the key itself is never kept.
+  /// Hex of SHA-256(salt + key); the key itself is not stored.
   std::string key_hash;
   std::string key_salt;
 };
 
-/// Everything in force at one revision.
+/// The configuration in force at one revision.
 struct Catalog {
   uint64_t revision = 0;
   std::map<std::string, GroupSpec> groups;
--- a/src/include/ryefold/core/session/adopted_sessions.h
+++ b/src/include/ryefold/core/session/adopted_sessions.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Sessions of other instances that have something under way at a keeper.
+// Sessions of other instances that have statements in flight at this keeper.
 
 #include <cstdint>
 #include <optional>
@@ -11,23 +11,23 @@
 
 namespace ryefold::core::session {
 
-/// Gives each a number among the keeper's callers, and tells the statements of
-/// one session apart: the end of an earlier stream must not end what a later
-/// one began.
+/// Assigns each adopted session a caller id and numbers its statements, so that
+/// the end of an earlier stream does not cancel a later statement of the same
+/// session.
 class AdoptedSessions {
  public:
   struct Entry {
     CallerId caller = 0;
-    /// Number of this statement among all that came.
+    /// Number of this statement, unique among all adopted statements.
     uint64_t statement = 0;
-    /// A caller to be dropped first: the session was given up at the other
-    /// side without our being told. 0: none.
+    /// Caller to be closed first: the other instance dropped its session
+    /// without notification. 0 if none.
     CallerId abandoned = 0;
   };
 
-  /// A statement of the session has come.
+  /// Registers a forwarded statement of `session`.
   Entry Enter(const std::string& session, bool in_transaction);
-  /// Whether the statement is still the caller's newest.
+  /// Returns whether `statement` is the caller's most recent one.
   bool Current(CallerId caller, uint64_t statement) const;
   std::optional<CallerId> Find(const std::string& session) const;
   void Erase(CallerId caller);
@@ -37,7 +37,7 @@
     std::string session;
     uint64_t statement = 0;
   };
-  /// Beyond the numbers of an instance's own callers.
+  /// Starts above the ids of an instance's own callers.
   CallerId last_caller_ = CallerId{1} << 48;
   uint64_t last_statement_ = 0;
   std::unordered_map<std::string, CallerId> by_session_;
--- a/src/include/ryefold/core/session/confirmation.h
+++ b/src/include/ryefold/core/session/confirmation.h
@@ -2,9 +2,9 @@
 
 // When a commit may be acknowledged.
 //
-// A primary acknowledges a commit as soon as its own log has it. If it is lost
-// before a replica has received the commit, the promotion that follows discards
-// it, and a caller who was told that the work is saved finds it gone.
+// A primary acknowledges a commit once its own log holds it. If the primary
+// fails before a replica has received the commit, the next promotion discards
+// it, and a caller loses data that was reported as committed.
 
 #include <cstddef>
 #include <memory>
@@ -18,20 +18,22 @@
 class Confirmation {
  public:
   virtual ~Confirmation() = default;
-  /// Whether a commit at `position` outlives the loss of its primary as far as
-  /// this rule asks for it. `received` are the positions that replicas of the
-  /// group are known to have received, applied or not.
+  /// Returns whether the rule is met for a commit at `position`: whether it
+  /// survives the loss of its primary to the degree that the rule requires.
+  /// `received` are the positions that replicas of the group are known to have
+  /// received, applied or not.
   virtual bool Holds(const LogPosition& position,
                      const std::vector<LogPosition>& received) const = 0;
-  /// On how many databases, the primary included, a commit is known to be
-  /// when it is acknowledged.
+  /// Number of databases, including the primary, that hold a commit when it is
+  /// acknowledged.
   virtual size_t copies() const = 0;
   /// Short name for logs and settings.
   virtual std::string_view name() const = 0;
 };
 
-/// The primary's word is enough: for databases that wait for a replica
-/// themselves, and for callers who would rather lose a commit than a write.
+/// The primary's acknowledgement is sufficient. For databases that replicate
+/// synchronously, and for callers that prefer a lost commit over a failed
+/// write.
 class ConfirmedByPrimary : public Confirmation {
  public:
   bool Holds(const LogPosition& position,
@@ -40,10 +42,10 @@
   std::string_view name() const override { return "primary"; }
 };
 
-/// One replica has received the commit under the term it was written in. The
-/// replica that has received the most is promoted, so it survives any single
-/// failure. Positions of another term prove nothing: the log may have been cut
-/// back in between.
+/// One replica has received the commit in the term in which it was written. The
+/// replica that has received the most is promoted, so the commit survives any
+/// single failure. A position of another term proves nothing, since the log may
+/// have been truncated in between.
 class ConfirmedByReplica : public Confirmation {
  public:
   bool Holds(const LogPosition& position,
@@ -52,7 +54,7 @@
   std::string_view name() const override { return "replica"; }
 };
 
-/// The rule with this name; null when there is none.
+/// Returns the rule with this name, or null if there is none.
 std::unique_ptr<Confirmation> MakeConfirmation(std::string_view name);
 
 }  // namespace ryefold::core::session
--- a/src/include/ryefold/core/session/database_pool.h
+++ b/src/include/ryefold/core/session/database_pool.h
@@ -14,48 +14,51 @@
 
 namespace ryefold::core::session {
 
-/// Keeps count of connections that each belong to one workspace for their whole
-/// life. Decides nothing about when to open one.
+/// Tracks connections, each of which belongs to one workspace for its whole
+/// lifetime. Does not decide when to open one.
 class DatabasePool {
  public:
-  /// An open connection with nothing under way.
+  /// An open connection that is not in use.
   struct Idle {
     ConnectionId connection = 0;
     std::string workspace;
     TimePoint since;
-    /// Nothing has run on it since it was opened.
-    bool fresh = false;
+    /// No statement has run on it since it was opened.
+    bool never_used = false;
   };
 
-  /// A connection is being opened for `workspace`; empty: for the proxy's own
-  /// calls and for callers without a workspace.
+  /// Adds a connection that is being opened for `workspace`. An empty workspace
+  /// stands for the proxy's own calls and for callers without a workspace.
   void Opening(TimePoint now, ConnectionId connection,
                const std::string& workspace);
   void Opened(ConnectionId connection);
-  /// The connection is gone, or its opening failed.
+  /// Removes a connection that was closed or failed to open.
   void Remove(ConnectionId connection);
-  /// The connection has nothing under way any more.
+  /// Adds the connection to the idle ones.
   void Return(TimePoint now, ConnectionId connection);
-  /// Takes an idle connection out.
+  /// Removes the connection from the idle ones, for use.
   void Take(ConnectionId connection);
 
-  /// Idle connections, the one that has been so for longest first.
+  /// Idle connections, the longest idle first.
   const std::vector<Idle>& idle() const { return idle_; }
   bool HasIdle(const std::string& workspace) const;
-  /// The idle connection that was used last; nothing when none is idle.
+  /// Returns the most recently used idle connection, or nullopt if none is
+  /// idle.
   std::optional<ConnectionId> newest_idle() const;
-  /// The idle connection of another workspace that was used least recently. One
-  /// that was opened a moment ago waits for whoever it was opened for.
+  /// Returns the least recently used idle connection of any other workspace, or
+  /// nullopt if there is none. Skips connections opened a moment ago, which are
+  /// reserved for the statement that they were opened for.
   std::optional<ConnectionId> EvictableFor(TimePoint now,
                                            const std::string& workspace) const;
 
-  /// Connections held, those being opened included.
+  /// Number of connections held, including those being opened.
   uint32_t size() const { return static_cast<uint32_t>(members_.size()); }
   uint32_t opening() const { return opening_; }
   uint32_t opening(const std::string& workspace) const;
-  /// Whether a connection for the workspace is likely to open in a moment.
+  /// Returns whether a connection for the workspace is expected to open
+  /// shortly.
   bool OpensSoon(TimePoint now, const std::string& workspace) const;
-  /// Connections of the workspace, those being opened included.
+  /// Number of connections of the workspace, including those being opened.
   uint32_t held(const std::string& workspace) const;
 
  private:
--- a/src/include/ryefold/core/session/directory.h
+++ b/src/include/ryefold/core/session/directory.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What is configured (routes) and what exists (databases), as sessions need
-// it. Sources of both push new versions; see `DirectoryListener`.
+// Configuration (routes) and discovery (databases) as sessions need them. The
+// sources of both push new versions through `DirectoryListener`.
 
 #include <chrono>
 #include <cstdint>
@@ -12,19 +12,19 @@
 
 namespace ryefold::core::session {
 
-/// How current a read has to be.
+/// Consistency of a read.
 enum class Freshness : uint8_t {
-  kPrimary,  ///< Holds every commit acknowledged before the read began.
+  kPrimary,  ///< Sees every commit acknowledged before the read began.
   kBounded,  ///< May miss commits younger than `Route::max_staleness`.
-  kSession,  ///< As kBounded, and holds the session's own commits.
+  kSession,  ///< As kBounded, and sees the session's own commits.
 };
 
-/// One name that callers connect to.
+/// A database name that callers connect to, with its settings.
 struct Route {
   std::string name;
   std::string group;
   Freshness freshness = Freshness::kPrimary;
-  /// Longest time a single statement may take.
+  /// Timeout of a single statement.
   std::chrono::milliseconds statement_timeout{1000};
   /// Response-time objective of a whole operation.
   std::chrono::milliseconds goal{500};
@@ -39,37 +39,38 @@
 struct GroupLimits {
   /// Connections that one database accepts from all callers together.
   uint32_t connection_limit = 20;
-  /// The databases acknowledge a commit only once a replica has received it.
+  /// The databases replicate synchronously: they acknowledge a commit only
+  /// after a replica has received it.
   bool confirms_commits = false;
 };
 
-/// Everything configured, at one version.
+/// The complete configuration at one version.
 struct RouteTable {
   uint64_t version = 0;
   std::map<std::string, Route> routes;
   std::map<std::string, GroupLimits> groups;
   workspace::WorkspaceTable workspaces;
-  /// A transaction without a statement for this long may be ended.
+  /// Idle time after which an open transaction may be rolled back.
   std::chrono::milliseconds transaction_idle{3000};
 };
 
-/// One database as the platform's list shows it. The list lags: it is a hint
-/// about who exists and who leads, never a proof.
+/// One database as listed by the platform. The list may be out of date: it is a
+/// hint about existing databases and the primary, never a proof.
 struct Database {
   std::string id;
   std::string group;
   /// "ip:port"
   std::string address;
   std::string failure_domain;
-  /// Statements it runs at once.
+  /// Statements that the database runs concurrently.
   uint32_t slots = 3;
-  /// Leaving: takes no new work, ends some seconds later.
+  /// Draining: accepts no new work and shuts down a few seconds later.
   bool draining = false;
-  /// Takes itself for the primary.
+  /// The database claims to be the primary.
   bool claims_primary = false;
-  /// When its process started, by its own clock; epoch when it does not say. A
-  /// database that starts again under its id holds nothing of before, so what
-  /// is known of it belongs to one such moment.
+  /// Start time of the database process by its own clock; the epoch if not
+  /// reported. A database restarted under the same id has lost its state, so
+  /// knowledge about it is valid only for one start time.
   std::chrono::sys_time<std::chrono::milliseconds> born;
 
   bool operator==(const Database&) const = default;
--- a/src/include/ryefold/core/session/isolation.h
+++ b/src/include/ryefold/core/session/isolation.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// Whether this instance reaches the others at all.
+// Detection of this instance being partitioned from all other instances.
 //
-// A network can part one instance from all others while callers still reach
-// it. Each of their statements would try one keeper after the other and be
-// refused when its time is over. What the answers and silences of all peers say
-// together shows it after a few tenths of a second: then statements are refused
-// at once, and the balancer is told to send callers elsewhere.
+// A network partition can cut off an instance that callers still reach. Each
+// statement would then try one keeper after the other and fail at its deadline.
+// The responses and timeouts of all peers together show the partition within a
+// few tenths of a second. From then on the instance rejects statements
+// immediately and reports itself as not ready to the load balancer.
 
 #include <cstddef>
 #include <set>
@@ -17,43 +17,44 @@
 
 namespace ryefold::core::session {
 
-/// Belief of one instance about itself, from what it hears of the others. A
-/// single answer ends it, so an instance on the smaller side of a partition, or
-/// in a fleet of which half has lost power, does not take itself for cut off.
+/// Decides whether this instance is cut off. A single response from any peer
+/// clears the state, so an instance in the minority partition, or in a fleet
+/// that lost half of its instances, does not stay cut off.
 class Isolation {
  public:
-  /// The other instances that there are.
-  void SetOthers(std::vector<std::string> others);
+  /// Sets the other instances of the fleet.
+  void SetOthers(std::vector<std::string> peers);
 
-  /// Any of the others has answered, or answered a probe. True when the
-  /// instance was taken for cut off until now.
+  /// Records a response of any peer, to a statement or a probe. Returns true if
+  /// the instance was cut off until now.
   bool Heard(TimePoint now);
-  /// `instance` was asked at `asked` and gave no sign of life. That says
-  /// nothing when another one was heard since. True when this instance is taken
-  /// for cut off from now on.
+  /// Records that `instance` did not respond to a request sent at `asked`.
+  /// Ignored if any peer has responded since. Returns true if this instance is
+  /// cut off from now on.
   bool Silent(const std::string& instance, TimePoint asked);
 
   bool cut_off() const { return cut_off_; }
-  /// When any of the others was last heard; epoch if never.
+  /// Time of the last response of any peer; the epoch if there was none.
   TimePoint heard_at() const { return heard_at_; }
-  /// Different instances that have kept silent since.
-  size_t silent() const { return silent_.size(); }
+  /// Number of instances that have timed out since the last response.
+  size_t silent() const { return timed_out_.size(); }
 
-  /// Instances to be asked for a sign of life now: some of all, drawn evenly,
-  /// while a few keep silent and none answers, until one does.
+  /// Returns the instances to probe now. Probes are due once a few instances
+  /// have timed out, until one responds; all peers are probed in turn.
   std::vector<std::string> ProbesDue(TimePoint now);
 
  private:
-  std::vector<std::string> others_;
-  /// Silent since any other was heard.
-  std::set<std::string> silent_;
-  /// Probed last, and neither heard nor known to be silent yet.
-  std::set<std::string> unanswered_;
+  std::vector<std::string> peers_;
+  /// Instances that have timed out since the last response of any peer.
+  std::set<std::string> timed_out_;
+  /// Instances of the last round of probes that have neither responded nor
+  /// timed out.
+  std::set<std::string> pending_probes_;
   bool cut_off_ = false;
   TimePoint heard_at_;
-  TimePoint probe_not_before_;
-  /// Where in `others_` the next probes go.
-  size_t next_ = 0;
+  TimePoint next_probe_time_;
+  /// Index into `others_` of the next instance to probe.
+  size_t next_peer_ = 0;
 };
 
 }  // namespace ryefold::core::session
--- a/src/include/ryefold/core/session/leadership_proof.h
+++ b/src/include/ryefold/core/session/leadership_proof.h
@@ -1,26 +1,26 @@
 #pragma once
 
-// Whether a database that takes itself for the primary still leads.
+// Proof that a database that claims to be the primary is still the leader.
 //
-// A primary that has been replaced may not know: it goes on letting
-// transactions begin, answering reads and taking commits, for as long as it is
-// partitioned from its successor and some time after. A caller would read data
-// that misses what others have been told is saved.
+// A replaced primary may be unaware of its replacement. While it is partitioned
+// from its successor, and for some time after, it begins transactions, answers
+// reads and accepts commits. A caller would read data that misses commits
+// already acknowledged to others.
 //
-// The proof is that of intersecting quorums and rests on no clock and no
-// message that tells of a promotion. A commit is acknowledged only once it is
-// on a certain number of the group's databases under the term it was written
-// in (`Confirmation`). Databases learn of a term with its first entry at the
-// latest. So when the primary of term T and enough of the others, all asked at
-// or after a moment, know of no newer term, nothing was acknowledged under a
-// newer term before that moment. What may go wrong with each message:
+// The proof relies on intersecting quorums, not on clocks or on notification of
+// a promotion. A commit is acknowledged only once a fixed number of the group's
+// databases hold it in the term in which it was written (`Confirmation`). A
+// database learns of a term with its first entry at the latest. So if the
+// primary of term T and enough other databases (the witnesses), all asked at or
+// after a moment, have seen no newer term, then no commit of a newer term was
+// acknowledged before that moment. Faults and their effect:
 //
-//   lost or late answer of a witness  nothing is proved; it is asked again
-//   repeated or reordered answer      counts from when its question was sent
-//   frozen or slow instance           the same: answers count from the question
-//   primary cut off from the others   its reads wait, then are refused
-//   promotion nobody has heard of     a witness tells the newer term
-//   database started anew             knows a lower term, so is no witness
+//   lost or late answer of a witness  no proof; the witness is asked again
+//   repeated or reordered answer      counts from when its request was sent
+//   frozen or slow instance           the same: answers count from the request
+//   primary cut off from the others   its reads wait, then are rejected
+//   promotion not yet seen here       a witness reports the newer term
+//   database restarted without state  reports a lower term, so is no witness
 
 #include <cstddef>
 #include <cstdint>
@@ -33,45 +33,47 @@
 
 namespace ryefold::core::session {
 
-/// How many databases other than the primary have to know of no newer term,
-/// when a commit counts as acknowledged once `copies` of `databases` have it.
-/// At least one, as long as there is one.
+/// Returns how many databases other than the primary must have seen no newer
+/// term, if a commit is acknowledged once `copies` of `databases` hold it. At
+/// least one if the group has two or more databases.
 size_t WitnessesNeeded(size_t databases, size_t copies);
 
-/// Evidence about one group. Times are those at which calls were sent.
+/// Evidence about one group. All times are those at which requests were sent.
 class LeadershipProof {
  public:
-  /// `leader` accepted a begin or a commit that was sent at `sent`, or said
-  /// that it leads; its log was at `position`. `term` is the newest that it is
-  /// known to have led, which its position shows only after its first commit.
-  /// False when a newer term has been claimed before.
+  /// Records that `leader` accepted a begin or commit sent at `sent`, or
+  /// claimed to be the primary, with its log at `position`. `term` is the
+  /// newest term that `leader` is known to have led; `position` reflects it
+  /// only after the first commit of the term. Returns false if a newer term has
+  /// been claimed before.
   bool Claimed(const std::string& leader, uint64_t term, TimePoint sent,
                const LogPosition& position);
-  /// `database`, asked at `asked`, knew of no term beyond `term`.
+  /// Records that `database`, asked at `asked`, has seen no term above `term`.
   void Told(const std::string& database, TimePoint asked, uint64_t term);
 
-  /// The database holds nothing of what it knew.
+  /// Discards the evidence about a database that has lost its state.
   void Forget(const std::string& database);
 
-  /// Up to which moment the leader is proved to have led, if it claimed to:
-  /// `needed` of `others` were asked then or later and knew no newer term.
+  /// Returns the time until which the leader is proved to have led, provided
+  /// that it claimed to: `needed` of `others` were asked at or after that time
+  /// and had seen no newer term.
   TimePoint ProvedUntil(const std::vector<std::string>& others,
                         size_t needed) const;
-  /// Claims up to `until`, the oldest first; they are handed out once.
+  /// Removes and returns the claims up to `until`, oldest first.
   std::vector<Watermarks::Mark> TakeClaims(TimePoint until);
 
   const std::string& leader() const { return leader_; }
   uint64_t term() const { return term_; }
 
  private:
-  struct Knowledge {
+  struct WitnessReport {
     TimePoint asked;
     uint64_t term = 0;
   };
   std::string leader_;
   uint64_t term_ = 0;
   std::vector<Watermarks::Mark> claims_;
-  std::map<std::string, Knowledge> told_;
+  std::map<std::string, WitnessReport> reports_;
 };
 
 }  // namespace ryefold::core::session
--- a/src/include/ryefold/core/session/placement.h
+++ b/src/include/ryefold/core/session/placement.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Chooses the database for a read, without sockets or clocks.
+// Choice of the database for a read. Uses no sockets or clocks.
 
 #include <chrono>
 #include <cstdint>
@@ -11,29 +11,31 @@
 
 namespace ryefold::core::session {
 
-/// Upper estimate of how far a replica is behind, learnt from its answers.
+/// Upper bound of a replica's replication lag, estimated from its answers.
 class LagEstimate {
  public:
-  /// An answer showed the replica to be at most `behind`, network included.
-  void Observed(std::chrono::milliseconds behind);
-  /// The replica refused a position that a primary had `age` ago.
+  /// An answer showed that the replica lags by at most `behind`, including
+  /// network delay.
+  void Observed(std::chrono::milliseconds lag);
+  /// The replica rejected a position that a primary had `age` ago.
   void Refused(TimePoint now, std::chrono::milliseconds age);
-  /// The replica served a position that a primary had `age` ago.
+  /// The replica served a read at a position that a primary had `age` ago.
   void Served(std::chrono::milliseconds age);
-  /// Whether a position of this age is likely held by now, or it is time to
-  /// find out. After a refusal the replica is let alone for a moment.
+  /// Returns whether the replica should be tried for a position of this age: it
+  /// is expected to hold the position, or a trial is due. False for a short
+  /// time after a rejection.
   bool Expects(TimePoint now, std::chrono::milliseconds age) const;
 
   std::chrono::milliseconds bound() const { return bound_; }
 
  private:
   std::chrono::milliseconds bound_{100};
-  TimePoint not_before_;
-  TimePoint trial_at_;
+  TimePoint backoff_until_;
+  TimePoint next_trial_;
 };
 
-/// Moving average of how long a database takes over a statement, as seen from
-/// this instance, its queue included.
+/// Moving average of a database's response time as seen from this instance,
+/// including time queued at the database.
 class Latency {
  public:
   void Add(std::chrono::microseconds sample);
@@ -48,19 +50,20 @@
   size_t index = 0;
   bool same_domain = false;
   bool primary = false;
-  /// Its log is known or expected to hold the position asked for.
+  /// Its log is known or expected to hold the requested position.
   bool expected_to_hold = false;
-  /// Has been silent or has refused lately.
+  /// Timed out or rejected a connection recently.
   bool suspect = false;
-  /// Statements of this instance that it has not answered.
+  /// Statements of this instance in flight at the database.
   uint32_t in_flight = 0;
   std::chrono::microseconds latency{0};
 };
 
-/// Indexes of `candidates` in the order in which to try them. Databases that
-/// are expected to hold the position come first, by the time that one more
-/// statement would take there. The primary is charged extra since it alone can
-/// run writes, and other failure domains since their bytes cost more.
+/// Returns the indexes of `candidates` in the order in which to try them.
+/// Databases expected to hold the position come first, ordered by the estimated
+/// response time of one more statement. The primary has an extra cost, since
+/// only it can run writes; other failure domains too, since cross-domain
+/// traffic is charged.
 std::vector<size_t> OrderForRead(std::vector<ReadCandidate> candidates);
 
 }  // namespace ryefold::core::session
--- a/src/include/ryefold/core/session/statement.h
+++ b/src/include/ryefold/core/session/statement.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What callers ask inside a session, what databases answer, and what the proxy
-// itself asks of a database. No wire form: codecs translate.
+// Statements of callers, replies of databases, and calls of the proxy to a
+// database. Independent of wire formats, which the codecs implement.
 
 #include <cstdint>
 #include <optional>
@@ -14,86 +14,88 @@
 namespace ryefold::core::session {
 
 enum class StatementKind : uint8_t {
-  kBegin,      ///< A transaction that may write.
-  kBeginRead,  ///< A transaction that only reads.
+  kBegin,      ///< Begins a transaction that may write.
+  kBeginRead,  ///< Begins a read-only transaction.
   kCommit,
   kRollback,
   kRead,
   kWrite,
-  kSet,  ///< Gives a session variable a value.
+  kSet,  ///< Sets a session variable.
   kPrepare,
   kExecute,
-  kDeallocate,  ///< Forgets a prepared statement.
+  kDeallocate,  ///< Drops a prepared statement.
   kMalformed,
 };
 
 /// One statement of a caller.
 struct Statement {
   StatementKind kind = StatementKind::kMalformed;
-  /// As the caller wrote it; reads, writes and commits go on unchanged.
+  /// Original text; reads, writes and commits are passed on unchanged.
   std::string text;
   /// Variable (kSet) or prepared statement (kPrepare, kExecute, kDeallocate).
   std::string name;
-  /// Value (kSet), shape (kPrepare), or arguments (kExecute).
+  /// Value (kSet), template (kPrepare), or arguments (kExecute).
   std::string argument;
   /// kPrepare: whether the prepared statement writes.
   bool writes = false;
 };
 
-/// Why a statement, a connection or a session was turned down.
+/// Why a statement, a connection or a session was rejected.
 enum class ErrorCode : uint8_t {
   kNone,
-  kBusy,                ///< Not run: no capacity in time.
-  kAborted,             ///< Not kept: the transaction was rolled back.
-  kLagging,             ///< Not run: the log lacks the position asked for.
+  kBusy,                ///< Not run: no capacity before the deadline.
+  kAborted,             ///< Not committed: the transaction was rolled back.
+  kLagging,             ///< Not run: the log lacks the requested position.
   kReadOnly,            ///< Not run: the database is not the primary.
-  kWrongDatabase,       ///< Not run: another database has this address.
-  kTooManyConnections,  ///< Not run: the database takes no more connections.
-  kInDoubt,             ///< Nothing is known about the outcome.
-  kTimeout,             ///< Ran or not; the time allowed is over.
+  kWrongDatabase,       ///< Not run: the address belongs to another database.
+  kTooManyConnections,  ///< Not run: the database's connection limit is
+                        ///< reached.
+  kInDoubt,             ///< The outcome is unknown.
+  kTimeout,             ///< May have run; the time limit expired.
   kFailed,              ///< Ran and failed.
   kNoStatement,         ///< Not run: no prepared statement of this name.
-  kMalformed,           ///< Not run: does not fit here, or unreadable.
+  kMalformed,           ///< Not run: unreadable, or not valid in this state.
   kNoRoute,             ///< No such database name is configured.
   kUnknownKey,          ///< Not run: the caller's key is not configured.
   kOverLimit,           ///< Not run: the workspace is over its rate limit.
-  kNotReady,            ///< Not run: an instance that has only just started.
-                        ///< Goes between instances, never to a caller.
-  kUnknownCode,         ///< A code this version does not know.
+  kNotReady,     ///< Not run: the instance is still starting. Sent between
+                 ///< instances, never to a caller.
+  kUnknownCode,  ///< A code that this version does not support.
 };
 
-/// Whether the code states that the statement did not run at the database.
+/// Returns whether the code guarantees that the database did not run the
+/// statement.
 bool MeansNotRun(ErrorCode code);
 
-/// Short name for logs and metrics.
+/// Returns a short name for logs and metrics.
 std::string_view ErrorName(ErrorCode code);
 
 enum class TransactionState : uint8_t { kIdle, kOpen, kFailed };
 
-/// A database's own account of itself.
+/// Status that a database reports about itself.
 struct StatusReport {
   bool primary = false;
   uint64_t term = 0;
-  /// Last position that it has received, applied or not.
+  /// Last position received, applied or not.
   LogPosition received;
-  /// Statements it is running or has queued.
+  /// Statements running or queued.
   uint32_t busy = 0;
-  /// Connections that all callers together hold.
+  /// Connections held by all callers together.
   uint32_t connections = 0;
 };
 
-/// The answer to one statement, from a database or to a caller.
+/// The reply to one statement, from a database or to a caller.
 struct Reply {
   std::vector<std::string> rows;
-  /// What the database hands out as proof of the run; empty when the proxy
-  /// answers by itself.
+  /// Digest that the database returns for a statement that it ran; empty if the
+  /// proxy itself replies.
   std::string digest;
   ErrorCode error = ErrorCode::kNone;
   std::string error_text;
   TransactionState state = TransactionState::kIdle;
-  /// Position of the answering database's log, if it told one.
+  /// Log position of the database, if reported.
   std::optional<LogPosition> position;
-  /// What a kStatus call was answered with.
+  /// Result of a kStatus call.
   std::optional<StatusReport> status;
 
   bool ok() const { return error == ErrorCode::kNone; }
@@ -105,7 +107,7 @@
   kRollback,
   kSet,
   kPrepare,
-  kDiscard,  ///< Forgets all variables and prepared statements.
+  kDiscard,  ///< Drops all variables and prepared statements.
   kStatus,
   kVerbatim,  ///< A caller's statement, text unchanged.
   kExecute,   ///< A caller's kExecute under the name used on this connection.
@@ -114,12 +116,12 @@
 /// One statement on a database connection.
 struct BackendCall {
   CallKind kind = CallKind::kStatus;
-  /// The caller's statement id; empty for what the proxy asks by itself.
+  /// The caller's statement id; empty for the proxy's own calls.
   std::string id;
-  /// Refuse with kLagging unless the log holds this position.
+  /// Reject with kLagging unless the log holds this position.
   std::optional<LogPosition> since;
   std::string name;
-  /// Text (kVerbatim), value, shape or arguments.
+  /// Text (kVerbatim), value, template or arguments.
   std::string text;
   bool writes = false;
 };
--- a/src/include/ryefold/core/session/token.h
+++ b/src/include/ryefold/core/session/token.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Session tokens: what a caller's session has seen, carried by the caller.
+// Session tokens: the log positions that a session has seen, carried by the
+// caller.
 
 #include <map>
 #include <optional>
@@ -12,58 +13,59 @@
 
 namespace ryefold::core::session {
 
-/// Groups whose positions one token carries, and the longest name of one.
+/// Maximum number of groups in one token, and maximum length of a group's name
+/// in bytes.
 inline constexpr size_t kMaxGroups = 64;
 inline constexpr size_t kMaxGroupName = 128;
 
-/// Position seen in each group that the session has touched. No instance
-/// keeps any of it, so the loss of an instance costs a session nothing.
+/// Position seen in each group that the session has used. No instance stores
+/// it, so the loss of an instance does not affect the session's consistency.
 struct Token {
-  /// At most `kMaxGroups`; the groups touched first keep their places.
+  /// At most `kMaxGroups` entries; the first groups used are kept.
   std::map<std::string, LogPosition> seen;
-  /// The session has touched a group that did not fit into `seen`. Forgetting
-  /// that would let a later read there miss the session's own write, which the
-  /// caller would notice as a saved record that is gone again. So nothing is
-  /// dropped, and reads of every group not listed have to be current instead.
+  /// The session has used a group that did not fit into `seen`. If that were
+  /// not recorded, a later read of the group could miss the session's own
+  /// write. Instead, reads of every group that is not listed must return
+  /// current data.
   bool overflow = false;
 
   bool operator==(const Token&) const = default;
 };
 
-/// Opaque text form, safe in JSON and in headers.
+/// Returns an opaque text form, safe in JSON and in HTTP headers.
 std::string Encode(const Token& token);
 
-/// The token behind `text`; an empty text is an empty token, a damaged one is
-/// nothing at all.
+/// Returns the token encoded in `text`; an empty text is an empty token.
+/// Returns nullopt if the text is damaged.
 std::optional<Token> Decode(std::string_view text);
 
-/// Raises the position of `group` to `position`, never lowers it. A group that
-/// does not fit any more sets `overflow` instead.
+/// Raises the position of `group` to `position`, never lowers it. Sets
+/// `overflow` if the group does not fit.
 void Advance(Token* token, const std::string& group,
              const LogPosition& position);
 
-/// What a read of one group has to show to a session.
+/// What a session requires of a read of one group.
 struct Need {
   LogPosition seen;
-  /// The position was not kept: only data of age 0 surely holds what the
-  /// session has written, since that covers every acknowledged write.
+  /// The position was not recorded, so only data of age 0, which holds every
+  /// acknowledged write, is certain to hold the session's writes.
   bool current = false;
 };
 
-/// What `token` asks of a read of `group`.
+/// Returns what `token` requires of a read of `group`.
 Need NeedOf(const Token& token, const std::string& group);
 
-/// Cuts `position` back to what still exists. `starts` are the terms known in
-/// the group, oldest first: a position at or beyond the start of a newer term
-/// names entries that a promotion discarded, which no database will ever hold;
-/// the result is the last entry before that term. Waiting for the original
-/// position would last forever. No acknowledged write is cut off: a newer term
-/// begins only after everything that a majority held.
+/// Limits `position` to entries that still exist. `starts` are the known terms
+/// of the group, oldest first. A position at or after the start of a newer term
+/// refers to entries discarded by a promotion; the result is then the last
+/// entry before that term, since a read that waits for a discarded entry never
+/// completes. No acknowledged write is excluded: a newer term starts after
+/// every entry that a majority held.
 LogPosition CutBack(const LogPosition& position,
                     const std::vector<TermStart>& starts);
 
-/// Whether a database whose log ends at `last`, with these term starts, holds
-/// everything up to `position`.
+/// Returns whether a database whose log ends at `last`, with these term starts,
+/// holds all entries up to `position`.
 bool Covers(const LogPosition& last, const std::vector<TermStart>& starts,
             const LogPosition& position);
 
--- a/src/include/ryefold/core/session/watermarks.h
+++ b/src/include/ryefold/core/session/watermarks.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Which log position covers everything acknowledged before a given moment.
+// Maps a point in time to the log position that includes every commit
+// acknowledged before it.
 
 #include <chrono>
 #include <deque>
@@ -10,11 +11,11 @@
 
 namespace ryefold::core::session {
 
-/// History of (moment, position) marks of one database group. A mark says: the
-/// database that held `position` was proved to be the primary by an answer to
-/// a call sent at `at`, so its log held every commit that anybody had been
-/// told of before `at`. Any database whose log holds the position may serve a
-/// read that has to see the commits from before that moment.
+/// History of (time, position) marks of one database group. A mark means: the
+/// database that held `position` was proved to be the primary by an answer to a
+/// call sent at `at`, so its log held every commit acknowledged before `at`.
+/// Any database whose log holds the position may serve a read that must see the
+/// commits before that time.
 class Watermarks {
  public:
   struct Mark {
@@ -22,35 +23,36 @@
     LogPosition position;
   };
 
-  /// Another primary leads, under `term`. Drops all marks: their positions may
-  /// name entries that the promotion discarded, for which a read would wait in
-  /// vain until the first commit under the new term.
+  /// Starts a new term after a promotion. Drops all marks: they may refer to
+  /// entries that the promotion discarded, and reads would wait for them until
+  /// the first commit of the new term.
   void NewTerm(uint64_t term);
 
   /// Adds a mark. A position of a newer term drops all older marks, for the
-  /// same reason. One of an older term is ignored.
+  /// same reason. A position of an older term is ignored.
   void Record(TimePoint sent, const LogPosition& position);
 
-  /// The oldest mark not older than `not_before`: replicas are the likeliest
-  /// to hold that one. Nothing when every mark is older.
+  /// Returns the oldest mark at or after `not_before`, which replicas are most
+  /// likely to hold. Returns nullopt if every mark is older.
   std::optional<Mark> Covering(TimePoint not_before) const;
 
-  /// Upper bound of how far a log that ends at `position` is behind: the time
-  /// since the newest mark that it holds. Nothing when it holds no mark.
+  /// Returns an upper bound of the lag of a log that ends at `position`: the
+  /// time since the newest mark that the log holds. Returns nullopt if it holds
+  /// no mark.
   std::optional<std::chrono::milliseconds> Behind(
       TimePoint now, const LogPosition& position) const;
 
-  /// What a session that saw `seen` has to ask for. A position of an older
-  /// term is replaced by the first one known of the newest term, which holds
-  /// all that the promotion kept.
+  /// Returns the position that a session that saw `seen` must require. A
+  /// position of an older term is replaced by the first known position of the
+  /// newest term, which includes everything that the promotion kept.
   LogPosition Current(const LogPosition& seen) const;
 
-  /// Newest mark, if any.
+  /// Returns the newest mark, or nullopt if there is none.
   std::optional<Mark> newest() const;
 
  private:
   std::deque<Mark> marks_;
-  /// Newest term that was told of; entries of older ones may end its log.
+  /// Newest known term; the log may still end with entries of older terms.
   uint64_t term_ = 0;
   LogPosition first_of_term_;
 };
--- a/src/libcore/session/base64.cc
+++ b/src/libcore/session/base64.cc
@@ -45,8 +45,8 @@
     bits -= kByteBits;
     bytes.push_back(static_cast<uint8_t>((pending >> bits) & kByteMask));
   }
-  const uint32_t stray = pending & ((1U << bits) - 1);
-  if (bits >= kDigitBits || stray != 0) return std::nullopt;
+  const uint32_t trailing_bits = pending & ((1U << bits) - 1);
+  if (bits >= kDigitBits || trailing_bits != 0) return std::nullopt;
   return bytes;
 }
 
--- a/src/libcore/session/base64.h
+++ b/src/libcore/session/base64.h
@@ -12,8 +12,9 @@
 
 std::string ToBase64(const std::vector<uint8_t>& bytes);
 
-/// Nothing when `text` has a foreign character, an impossible length or stray
-/// bits at its end, so that each byte string has exactly one text.
+/// Returns nullopt if `text` contains an invalid character, has an impossible
+/// length or non-zero trailing bits, so that each byte string has exactly one
+/// encoding.
 std::optional<std::vector<uint8_t>> FromBase64(std::string_view text);
 
 }  // namespace ryefold::core::session
--- a/src/libcore/session/database_pool.cc
+++ b/src/libcore/session/database_pool.cc
@@ -5,11 +5,12 @@
 namespace ryefold::core::session {
 namespace {
 
-/// Time in which what a connection was opened for takes it up, as a rule.
-constexpr std::chrono::milliseconds kFreshTime{100};
+/// Time for which a new connection is reserved for the statement that it was
+/// opened for, which normally uses it within this time.
+constexpr std::chrono::milliseconds kReservationTime{100};
 
-/// Time that opening a connection to a database in good order takes at most.
-constexpr std::chrono::milliseconds kOpensSoon{60};
+/// Longest time to open a connection to a healthy database.
+constexpr std::chrono::milliseconds kMaxOpenTime{60};
 
 }  // namespace
 
@@ -64,8 +65,9 @@
     TimePoint now, const std::string& workspace) const {
   const auto found = std::find_if(
       idle_.begin(), idle_.end(), [now, &workspace](const Idle& each) {
-        const bool awaited = each.fresh && now - each.since < kFreshTime;
-        return each.workspace != workspace && !awaited;
+        const bool reserved =
+            each.never_used && now - each.since < kReservationTime;
+        return each.workspace != workspace && !reserved;
       });
   if (found == idle_.end()) return std::nullopt;
   return found->connection;
@@ -84,7 +86,7 @@
                      [now, &workspace](const auto& entry) {
                        const Member& member = entry.second;
                        return !member.open && member.workspace == workspace &&
-                              now - member.opening_since < kOpensSoon;
+                              now - member.opening_since < kMaxOpenTime;
                      });
 }
 
--- a/src/libcore/session/forwarding.cc
+++ b/src/libcore/session/forwarding.cc
@@ -7,40 +7,42 @@
 namespace ryefold::core::session {
 namespace {
 
-/// Connections that each instance needs to serve a group without a hop: one
-/// in use and one to spare for transactions.
-constexpr size_t kOwnConnections = 2;
-/// Instances that may all hold connections. Beyond, each has so little to do
-/// for each database that its connections are closed as idle between two
-/// statements, and opening one takes a slot of the database.
-constexpr size_t kMostOwn = 16;
-/// Connections of one keeper: enough that a transaction at rest does not stop
+/// Connections to each database that an instance needs to serve a group without
+/// forwarding: one in use and one to spare for transactions.
+constexpr size_t kDirectConnections = 2;
+/// Maximum number of instances that all hold connections. With more, each sends
+/// so few statements to a database that its connections are closed as idle in
+/// between, and opening one occupies a slot of the database.
+constexpr size_t kMaxDirectInstances = 16;
+/// Connections of one keeper: enough that an idle transaction does not block
 /// the others, few enough that several keepers share a group.
-constexpr size_t kKeeperConnections = 4;
-/// Part of a database's connections that keepers hold together, in percent.
-/// The rest is for those of instances that have lost power, which the database
-/// counts for seconds, and for keepers that come and go.
-constexpr size_t kUsedPercent = 60;
-/// The same where each connection serves one workspace: they stay open, so all
-/// of them are there to be lost at once.
-constexpr size_t kUsedPercentByWorkspace = 50;
-/// Statements under way at a database for each of its slots, from all holders
-/// together. One runs, the others wait inside it, out of reach of the order by
-/// priority; databases turn away what exceeds eight for each slot.
+constexpr size_t kConnectionsPerKeeper = 4;
+/// Share of a database's connections that all keepers together hold, in
+/// percent. The rest is for connections of instances that lost power, which the
+/// database counts for seconds more, and for changes of keepers.
+constexpr size_t kKeeperSharePercent = 60;
+/// The same if each connection serves one workspace. Such connections stay
+/// open, so all of them can be left behind by a power loss at once.
+constexpr size_t kKeeperSharePercentByWorkspace = 50;
+/// Statements of all holders in flight at a database, per slot. One runs, the
+/// others queue inside the database, where priorities do not apply. A database
+/// rejects more than eight per slot.
 constexpr size_t kInFlightPerSlot = 3;
 /// Bounds of the number of keepers: the loss of one must not stop a group, and
-/// beyond the most a keeper's queue would be too short to order by priority.
-constexpr size_t kLeastKeepers = 3;
-constexpr size_t kMostKeepers = 8;
-/// The same where each connection serves one workspace.
-constexpr size_t kMostByWorkspace = 4;
+/// with more than the maximum a keeper's queue is too short to order by
+/// priority.
+constexpr size_t kMinKeepers = 3;
+constexpr size_t kMaxKeepers = 8;
+/// The same if each connection serves one workspace.
+constexpr size_t kMaxKeepersByWorkspace = 4;
 
-size_t Usable(uint32_t connection_limit, bool by_workspace) {
-  const size_t percent = by_workspace ? kUsedPercentByWorkspace : kUsedPercent;
+size_t ConnectionsForKeepers(uint32_t connection_limit, bool by_workspace) {
+  const size_t percent =
+      by_workspace ? kKeeperSharePercentByWorkspace : kKeeperSharePercent;
   return connection_limit * percent / 100;
 }
 
-uint64_t Rank(std::string_view group, const std::string& instance) {
+uint64_t RendezvousHash(std::string_view group, const std::string& instance) {
   return XXH64(group.data(), group.size(),
                XXH64(instance.data(), instance.size(), 0));
 }
@@ -49,33 +51,34 @@
 
 size_t KeeperCount(uint32_t connection_limit, size_t instances,
                    bool by_workspace) {
-  const bool enough = instances * kOwnConnections <= connection_limit;
-  if (enough && instances <= kMostOwn) return 0;
-  return std::clamp(Usable(connection_limit, by_workspace) / kKeeperConnections,
-                    kLeastKeepers,
-                    by_workspace ? kMostByWorkspace : kMostKeepers);
+  const bool all_fit = instances * kDirectConnections <= connection_limit;
+  if (all_fit && instances <= kMaxDirectInstances) return 0;
+  return std::clamp(ConnectionsForKeepers(connection_limit, by_workspace) /
+                        kConnectionsPerKeeper,
+                    kMinKeepers,
+                    by_workspace ? kMaxKeepersByWorkspace : kMaxKeepers);
 }
 
 uint32_t ConnectionsOfKeeper(uint32_t connection_limit, size_t keepers,
                              bool by_workspace) {
-  const size_t share =
-      Usable(connection_limit, by_workspace) / std::max<size_t>(keepers, 1);
-  return static_cast<uint32_t>(std::max(share, kOwnConnections));
+  const size_t share = ConnectionsForKeepers(connection_limit, by_workspace) /
+                       std::max<size_t>(keepers, 1);
+  return static_cast<uint32_t>(std::max(share, kDirectConnections));
 }
 
 uint32_t WindowOf(uint32_t slots, size_t holders) {
-  const size_t all = size_t{slots} * kInFlightPerSlot;
-  const size_t share = (all + holders - 1) / std::max<size_t>(holders, 1);
+  const size_t total = size_t{slots} * kInFlightPerSlot;
+  const size_t share = (total + holders - 1) / std::max<size_t>(holders, 1);
   return static_cast<uint32_t>(std::max<size_t>(share, 1));
 }
 
 size_t RankAmong(std::string_view key, const std::string& instance,
                  const std::vector<KeeperCandidate>& candidates) {
-  const uint64_t own = Rank(key, instance);
+  const uint64_t own_hash = RendezvousHash(key, instance);
   return static_cast<size_t>(
       std::count_if(candidates.begin(), candidates.end(),
-                    [key, own](const KeeperCandidate& each) {
-                      return Rank(key, each.instance) < own;
+                    [key, own_hash](const KeeperCandidate& each) {
+                      return RendezvousHash(key, each.instance) < own_hash;
                     }));
 }
 
@@ -85,14 +88,15 @@
   std::vector<std::pair<uint64_t, size_t>> ranked;
   ranked.reserve(candidates.size());
   for (size_t i = 0; i < candidates.size(); ++i) {
-    ranked.emplace_back(Rank(group, candidates[i].instance), i);
+    ranked.emplace_back(RendezvousHash(group, candidates[i].instance), i);
   }
-  const size_t taken = std::min(count, ranked.size());
+  const size_t chosen = std::min(count, ranked.size());
   std::partial_sort(ranked.begin(),
-                    ranked.begin() + static_cast<int64_t>(taken), ranked.end());
+                    ranked.begin() + static_cast<int64_t>(chosen),
+                    ranked.end());
   std::vector<KeeperCandidate> keepers;
-  keepers.reserve(taken);
-  for (size_t i = 0; i < taken; ++i) {
+  keepers.reserve(chosen);
+  for (size_t i = 0; i < chosen; ++i) {
     keepers.push_back(candidates[ranked[i].second]);
   }
   return keepers;
--- a/src/libcore/session/leadership_proof.cc
+++ b/src/libcore/session/leadership_proof.cc
@@ -6,8 +6,9 @@
 namespace ryefold::core::session {
 namespace {
 
-/// Claims that wait for a proof at most. At one begin a millisecond this is a
-/// quarter of a second, many times what a witness takes to answer.
+/// Maximum number of claims that wait for a proof. At one begin per millisecond
+/// this covers a quarter of a second, many times the response time of a
+/// witness.
 constexpr size_t kMaxClaims = 256;
 
 }  // namespace
@@ -31,13 +32,13 @@
 
 void LeadershipProof::Told(const std::string& database, TimePoint asked,
                            uint64_t term) {
-  Knowledge& knowledge = told_[database];
-  if (asked < knowledge.asked) return;
-  knowledge = {asked, term};
+  WitnessReport& report = reports_[database];
+  if (asked < report.asked) return;
+  report = {asked, term};
 }
 
 void LeadershipProof::Forget(const std::string& database) {
-  told_.erase(database);
+  reports_.erase(database);
   if (database != leader_) return;
   leader_.clear();
   claims_.clear();
@@ -48,8 +49,8 @@
   if (needed == 0) return TimePoint::max();
   std::vector<TimePoint> asked;
   for (const std::string& id : others) {
-    const auto found = told_.find(id);
-    if (found == told_.end() || found->second.term != term_) continue;
+    const auto found = reports_.find(id);
+    if (found == reports_.end() || found->second.term != term_) continue;
     asked.push_back(found->second.asked);
   }
   if (asked.size() < needed) return TimePoint();
@@ -58,11 +59,11 @@
 }
 
 std::vector<Watermarks::Mark> LeadershipProof::TakeClaims(TimePoint until) {
-  const auto first_late = std::stable_partition(
+  const auto first_unproved = std::stable_partition(
       claims_.begin(), claims_.end(),
       [until](const Watermarks::Mark& claim) { return claim.at <= until; });
-  std::vector<Watermarks::Mark> proved(claims_.begin(), first_late);
-  claims_.erase(claims_.begin(), first_late);
+  std::vector<Watermarks::Mark> proved(claims_.begin(), first_unproved);
+  claims_.erase(claims_.begin(), first_unproved);
   std::sort(proved.begin(), proved.end(),
             [](const Watermarks::Mark& a, const Watermarks::Mark& b) {
               return a.at < b.at;
--- a/src/libcore/session/placement.cc
+++ b/src/libcore/session/placement.cc
@@ -8,58 +8,58 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-/// Pause before a replica that refused a position is asked again. About the
-/// time in which a replica 60 ms behind moves on noticeably.
-constexpr milliseconds kAfterRefusal{30};
-/// Pause before a replica that is thought to be too far behind is tried all
-/// the same. Without a trial it would never be found to have caught up, and
-/// the primary would go on serving all reads. A refusal costs the replica
-/// nothing and the read one round trip.
-constexpr milliseconds kTrialPause{250};
-/// Bounds of the lag estimate: below the least, network delays decide; above
-/// the most, no route's staleness would let the replica serve anyway.
-constexpr milliseconds kLeastLag{40};
-constexpr milliseconds kMostLag{10000};
-/// Weight of a new sample in the latency average: 1/8, as TCP does for its
-/// round trips.
-constexpr int kLatencyShift = 8;
-/// Extra cost of the primary, in percent of its latency. Reads take a third of
-/// it in a calm group without crowding out writes.
-constexpr int kPrimaryPercent = 150;
-/// Extra cost of another failure domain: its round trip and what its bytes
-/// cost, taken together as one short statement.
-constexpr microseconds kOtherDomain{6000};
+/// Backoff after a replica has rejected a position. A replica that lags by 60
+/// ms makes noticeable progress in about this time.
+constexpr milliseconds kRejectionBackoff{30};
+/// Interval between trials of a replica whose estimated lag is too high.
+/// Without trials the estimate would never recover and the primary would serve
+/// all reads. A rejection costs the replica nothing and the read one round
+/// trip.
+constexpr milliseconds kTrialInterval{250};
+/// Bounds of the lag estimate. Below the minimum, network delay dominates;
+/// above the maximum, the staleness of every route excludes the replica anyway.
+constexpr milliseconds kMinLag{40};
+constexpr milliseconds kMaxLag{10000};
+/// The weight of a new sample in the latency average is 1/8, as for round-trip
+/// times in TCP.
+constexpr int kLatencyDivisor = 8;
+/// Extra cost of the primary, in percent of its latency. Under low load the
+/// primary then takes a third of the reads without crowding out writes.
+constexpr int kPrimaryCostPercent = 150;
+/// Extra cost of another failure domain: round trip and traffic charges,
+/// together weighted as one short statement.
+constexpr microseconds kCrossDomainCost{6000};
 
 }  // namespace
 
-void LagEstimate::Observed(milliseconds behind) {
-  bound_ = std::clamp(behind + kLeastLag, kLeastLag, kMostLag);
+void LagEstimate::Observed(milliseconds lag) {
+  bound_ = std::clamp(lag + kMinLag, kMinLag, kMaxLag);
 }
 
 void LagEstimate::Refused(TimePoint now, milliseconds age) {
-  bound_ = std::min(std::max(bound_, age + kLeastLag), kMostLag);
-  not_before_ = now + kAfterRefusal;
-  trial_at_ = now + kTrialPause;
+  bound_ = std::min(std::max(bound_, age + kMinLag), kMaxLag);
+  backoff_until_ = now + kRejectionBackoff;
+  next_trial_ = now + kTrialInterval;
 }
 
 void LagEstimate::Served(milliseconds age) {
-  bound_ = std::max(kLeastLag, std::min(age, bound_));
+  bound_ = std::max(kMinLag, std::min(age, bound_));
 }
 
 bool LagEstimate::Expects(TimePoint now, milliseconds age) const {
-  if (now < not_before_) return false;
-  return age >= bound_ || now >= trial_at_;
+  if (now < backoff_until_) return false;
+  return age >= bound_ || now >= next_trial_;
 }
 
 void Latency::Add(microseconds sample) {
-  mean_ += (sample - mean_) / kLatencyShift;
+  mean_ += (sample - mean_) / kLatencyDivisor;
 }
 
 std::vector<size_t> OrderForRead(std::vector<ReadCandidate> candidates) {
   const auto cost = [](const ReadCandidate& candidate) {
     microseconds sum = candidate.latency * (candidate.in_flight + 1);
-    if (candidate.primary) sum += candidate.latency * kPrimaryPercent / 100;
-    if (!candidate.same_domain) sum += kOtherDomain;
+    if (candidate.primary) sum += candidate.latency * kPrimaryCostPercent / 100;
+    if (!candidate.same_domain) sum += kCrossDomainCost;
     return sum;
   };
   std::stable_sort(candidates.begin(), candidates.end(),
--- a/src/libcore/session/watermarks.cc
+++ b/src/libcore/session/watermarks.cc
@@ -8,12 +8,12 @@
 
 using std::chrono::milliseconds;
 
-/// Marks closer together than this are merged: a replica's lag is tens of
-/// milliseconds, so a finer history would not let more replicas serve.
-constexpr milliseconds kSpacing{25};
-/// Longest history. Exceeds any staleness that routes allow in practice;
-/// a route that allows more is served by younger marks all the same.
-constexpr milliseconds kHistory{10000};
+/// Marks closer together than this are merged. The lag of a replica is tens of
+/// milliseconds, so a finer history would not let more replicas serve a read.
+constexpr milliseconds kMinMarkSpacing{25};
+/// Maximum length of the history. Exceeds the usual staleness limits of routes;
+/// a route with a higher limit is served by the marks that remain.
+constexpr milliseconds kMaxHistory{10000};
 
 }  // namespace
 
@@ -34,12 +34,13 @@
   if (position.term < last.position.term) return;
   first_of_term_ = std::min(first_of_term_, position);
   if (sent <= last.at) return;
-  if (marks_.size() > 1 && sent - marks_[marks_.size() - 2].at < kSpacing) {
+  if (marks_.size() > 1 &&
+      sent - marks_[marks_.size() - 2].at < kMinMarkSpacing) {
     last = {sent, std::max(position, last.position)};
   } else {
     marks_.push_back({sent, std::max(position, last.position)});
   }
-  while (marks_.front().at < sent - kHistory) marks_.pop_front();
+  while (marks_.front().at < sent - kMaxHistory) marks_.pop_front();
 }
 
 std::optional<Watermarks::Mark> Watermarks::Covering(
