--- a/testsuite/outcome/outcome_test.cc
+++ b/testsuite/outcome/outcome_test.cc
@@ -14,10 +14,10 @@
   }
 }
 
-// A write stood past the start of a newer term, so the promotion dropped it.
-// As long as only one database holds the newer term, a second failure can
-// promote the other replica and bring the write back: a caller told "not run"
-// would see it appear.
+// A promotion discarded a write that was past the start of a newer term. While
+// only one database holds the newer term, a second failure can promote the
+// other replica and bring the write back: a caller that got "not run" would see
+// it appear.
 TEST(Outcome, DiscardNeedsAMajorityOfTheNewTerm) {
   const LogPosition write{1, 10};
   const TermStart start{2, 8};
@@ -32,7 +32,7 @@
   EXPECT_FALSE(NotRunProof::DiscardedBy({2, 9}, {2, 8}, true).has_value());
 }
 
-// A fence that only the primary holds is lost with the primary, and the late
+// A fence that only the primary holds is lost with the primary. A late
 // statement could then run after its caller was told that it never would.
 TEST(Outcome, FenceNeedsAMajority) {
   SettleAnswer answer;
--- a/testsuite/session_connections/connections_test.cc
+++ b/testsuite/session_connections/connections_test.cc
@@ -1,7 +1,7 @@
-// The connections that a database takes, through losses of power and lists of
-// instances that differ, in virtual time. The fake database is the oracle: it
-// turns away what exceeds its limit, and counts connections whose other side
-// has lost power for three seconds more, as real ones do.
+// The connection limit of a database under power losses of instances and
+// diverging instance lists, in virtual time. The fake database checks the
+// limit: it rejects connections above it and, as real databases do, counts
+// connections of an instance that lost power for three more seconds.
 
 #include <gtest/gtest.h>
 
@@ -14,11 +14,11 @@
 namespace {
 
 constexpr uint32_t kInstances = 60;
-/// Fewer than there are instances.
+/// Fewer than one per instance.
 constexpr uint32_t kConnectionLimit = 53;
-/// From a loss of power until the group serves at its usual rate again: the
-/// second in which callers would notice.
-constexpr milliseconds kServesAgain{1000};
+/// Time from a power loss until the group serves at its usual rate again.
+/// Callers would notice a longer interruption.
+constexpr milliseconds kRecoveryTime{1000};
 
 class ConnectionsTest
     : public testing::TestWithParam<std::tuple<uint64_t, uint64_t>>,
@@ -38,7 +38,8 @@
       hosts_.push_back(std::make_unique<InstanceHost>(
           &clock_, &cluster_, this, "i" + std::to_string(i), domain, &fleet_));
     }
-    for (const auto& host : hosts_) Tell(host.get(), fleet_.candidates);
+    for (const auto& host : hosts_)
+      UpdateInstances(host.get(), fleet_.candidates);
     Run(milliseconds(500));
     for (CallerId caller = 0; caller < kCallers; ++caller) StartCaller(caller);
   }
@@ -63,10 +64,10 @@
   void OnReply(CallerId caller, const Reply& reply) override {
     ++answers_;
     served_ += reply.ok() ? 1 : 0;
-    AskSoon(caller);
+    ScheduleRead(caller);
   }
   void OnClosed(CallerId caller, ErrorCode /*error*/) override {
-    AskSoon(caller);
+    ScheduleRead(caller);
   }
 
   InstanceHost& HostOf(CallerId caller) {
@@ -76,13 +77,13 @@
     HostOf(caller).proxy()->CallerStarted(
         clock_.now(), caller + 1, caller % 2 == 0 ? "bounded" : "primary",
         KeyOf(caller));
-    AskSoon(caller + 1);
+    ScheduleRead(caller + 1);
   }
-  void AskSoon(CallerId caller) {
-    const uint64_t life = ++lives_[caller];
+  void ScheduleRead(CallerId caller) {
+    const uint64_t epoch = ++epochs_[caller];
     const milliseconds pause(200 + random_() % 400);
-    clock_.After(pause, [this, caller, life] {
-      if (life != lives_[caller]) return;  // its instance was restarted
+    clock_.After(pause, [this, caller, epoch] {
+      if (epoch != epochs_[caller]) return;  // its instance was restarted
       HostOf(caller - 1)
           .proxy()
           ->CallerStatement(clock_.now(), caller,
@@ -91,12 +92,14 @@
     });
   }
 
-  void Tell(InstanceHost* host,
-            const std::vector<core::session::KeeperCandidate>& instances) {
+  void UpdateInstances(
+      InstanceHost* host,
+      const std::vector<core::session::KeeperCandidate>& instances) {
     host->proxy()->SetInstances(clock_.now(), host->name(), instances);
   }
-  /// What an instance knows that has read only a part of the list.
-  std::vector<core::session::KeeperCandidate> Part() {
+  /// Returns a random part of the instance list, as an instance has that has
+  /// not read all of it.
+  std::vector<core::session::KeeperCandidate> RandomPart() {
     std::vector<core::session::KeeperCandidate> part;
     for (const auto& each : fleet_.candidates) {
       if (random_() % 3 > 0) part.push_back(each);
@@ -113,19 +116,19 @@
       }
     }
   }
-  /// Some believe for a while that others are gone.
-  void Disagree() {
+  /// Gives some instances a partial instance list for a while.
+  void DivergeInstanceLists() {
     for (const auto& host : hosts_) {
       if (random_() % 2 > 0) continue;
-      Tell(host.get(), Part());
+      UpdateInstances(host.get(), RandomPart());
       clock_.After(milliseconds(random_() % 1500), [this, host = host.get()] {
-        Tell(host, fleet_.candidates);
+        UpdateInstances(host, fleet_.candidates);
       });
     }
   }
   void Run(milliseconds span) { clock_.RunUntil(clock_.now() + span); }
-  /// The part of the answers within a span that served their callers.
-  double Served(milliseconds span) {
+  /// Returns the fraction of successful answers within a span.
+  double MeasureServedFraction(milliseconds span) {
     answers_ = 0;
     served_ = 0;
     Run(span);
@@ -140,32 +143,32 @@
   const uint64_t workspaces_;
   FakeFleet fleet_;
   std::vector<std::unique_ptr<InstanceHost>> hosts_;
-  std::map<CallerId, uint64_t> lives_;
+  std::map<CallerId, uint64_t> epochs_;
   uint64_t last_id_ = 0;
   uint64_t answers_ = 0;
   uint64_t served_ = 0;
 };
 
-// Instances lose power, some or all of them, while others still believe in a
-// different list. If that made them open more than the database takes, it would
-// turn connections away, for three seconds and for those who come first, and
-// callers would wait behind the attempts.
+// Some or all instances lose power while others use diverging instance lists.
+// If they opened more connections than the database accepts, it would reject
+// connections for three seconds on a first-come basis, and callers would wait
+// behind the failed attempts.
 TEST_P(ConnectionsTest, StayWithinTheLimitThroughLossesOfPower) {
-  EXPECT_GE(Served(milliseconds(2000)), 0.98);
+  EXPECT_GE(MeasureServedFraction(milliseconds(2000)), 0.98);
   for (int round = 0; round < 6; ++round) {
-    if (random_() % 2 > 0) Disagree();
+    if (random_() % 2 > 0) DivergeInstanceLists();
     const uint32_t percent = round % 3 == 2 ? 100 : 20 + random_() % 60;
     LosePower(percent);
-    Run(kServesAgain);
-    EXPECT_GE(Served(milliseconds(1000)), 0.98)
+    Run(kRecoveryTime);
+    EXPECT_GE(MeasureServedFraction(milliseconds(1000)), 0.98)
         << percent << " percent, round " << round;
     Run(milliseconds(random_() % 4000));
   }
   EXPECT_EQ(cluster_.over_limit(), 0U);
 }
 
-// Without workspaces, with as many as there are on a large deployment, and with
-// more than a database takes connections.
+// Without workspaces, with the number of workspaces of a large deployment, and
+// with more workspaces than connections per database.
 INSTANTIATE_TEST_SUITE_P(Seeds, ConnectionsTest,
                          testing::Combine(testing::Range<uint64_t>(1, 13),
                                           testing::Values(0, 78, 2000)));
--- a/testsuite/session_isolation/isolation_test.cc
+++ b/testsuite/session_isolation/isolation_test.cc
@@ -1,5 +1,5 @@
-// Instances that reach no other, and instances whose others are gone, in
-// virtual time with 200 instances.
+// Instances that cannot reach any other instance, and instances whose peers
+// have failed, in virtual time with 200 instances.
 
 #include "ryefold/core/session/isolation.h"
 
@@ -13,13 +13,14 @@
 using core::session::Isolation;
 
 constexpr uint32_t kInstances = 200;
-/// Connections that a database takes, fewer than there are instances.
+/// Connection limit of a database; fewer than one per instance.
 constexpr uint32_t kConnectionLimit = 117;
-/// What an instance may need to find out that it is cut off, so that a balancer
-/// which needs two misses takes it out after three seconds at the latest.
-constexpr milliseconds kFindOut{1000};
-/// A refusal at once: no time for any message.
-constexpr milliseconds kAtOnce{5};
+/// Maximum time in which an instance detects that it is cut off. A load
+/// balancer that removes an instance after two failed checks then does so
+/// within three seconds.
+constexpr milliseconds kMaxDetectionTime{1000};
+/// Maximum time of an immediate rejection; shorter than any message delay.
+constexpr milliseconds kImmediate{5};
 
 class IsolationTest : public testing::Test, public CallerListener {
  protected:
@@ -44,42 +45,42 @@
   }
 
   InstanceHost& HostOf(CallerId caller) { return *hosts_[caller - 1]; }
-  bool Kept(CallerId caller) {
+  bool IsKeeper(CallerId caller) {
     return HostOf(caller).proxy()->groups(clock_.now()).front().kept;
   }
   void Run(milliseconds span) { clock_.RunUntil(clock_.now() + span); }
 
   void OnReply(CallerId caller, const Reply& reply) override {
-    answers_[caller] = {reply.error, clock_.now() - asked_[caller]};
+    answers_[caller] = {reply.error, clock_.now() - sent_at_[caller]};
   }
   void OnClosed(CallerId /*caller*/, ErrorCode /*error*/) override {}
 
-  void Ask(CallerId caller, StatementKind kind, const std::string& text) {
+  void Send(CallerId caller, StatementKind kind, const std::string& text) {
     answers_.erase(caller);
-    asked_[caller] = clock_.now();
-    asked_of_.insert(caller);
+    sent_at_[caller] = clock_.now();
+    has_sent_.insert(caller);
     HostOf(caller).proxy()->CallerStatement(clock_.now(), caller,
                                             "s" + std::to_string(++last_id_),
                                             MakeStatement(kind, text));
   }
-  /// Every caller whose last statement is answered asks again each 50 ms;
-  /// `check` sees each answer.
+  /// Each caller with no outstanding statement sends a new one with a
+  /// probability of 2 % every 50 ms; `check` is called with each answer.
   template <class Check>
-  void AskAround(milliseconds span, const Check& check) {
+  void SendReads(milliseconds span, const Check& check) {
     const TimePoint end = clock_.now() + span;
     while (clock_.now() < end) {
       for (CallerId caller = 1; caller <= kInstances; ++caller) {
-        const bool first = asked_.count(caller) == 0;
+        const bool first = sent_at_.count(caller) == 0;
         const auto answer = answers_.find(caller);
         if (!first && answer == answers_.end()) continue;
-        if (!first) check(caller, asked_[caller], answer->second);
-        // Not more than the group serves.
+        if (!first) check(caller, sent_at_[caller], answer->second);
+        // Limits the load to what the group can serve.
         if (random_() % 50 != 0) {
           answers_.erase(caller);
-          asked_.erase(caller);
+          sent_at_.erase(caller);
           continue;
         }
-        Ask(caller, StatementKind::kRead, "READ k");
+        Send(caller, StatementKind::kRead, "READ k");
       }
       Run(milliseconds(50));
     }
@@ -87,88 +88,89 @@
 
   struct Answer {
     ErrorCode error = ErrorCode::kNone;
-    std::chrono::nanoseconds took{0};
+    std::chrono::nanoseconds latency{0};
   };
 
   VirtualClock clock_;
   FakeCluster cluster_;
   FakeFleet fleet_;
   std::vector<std::unique_ptr<InstanceHost>> hosts_;
-  std::map<CallerId, TimePoint> asked_;
-  std::set<CallerId> asked_of_;
+  std::map<CallerId, TimePoint> sent_at_;
+  std::set<CallerId> has_sent_;
   std::map<CallerId, Answer> answers_;
   std::mt19937_64 random_{7};
   uint64_t last_id_ = 0;
 };
 
-// A fourth of the instances is partitioned from all others, while callers still
-// reach them. Such an instance can serve nobody: its callers must be told so at
-// once, rather than at the end of their time, and the balancer must hear that
-// it is not ready. When the partition heals it serves again by itself, without
-// any caller having had to try.
+// A quarter of the instances is partitioned from all others while callers still
+// reach them. Such an instance cannot serve any caller: it must reject
+// statements immediately rather than at their deadline, and report itself as
+// not ready. After the partition heals it must become ready without a statement
+// of a caller.
 TEST_F(IsolationTest, RefusesAtOnceWhenCutOffFromAllOthers) {
-  AskAround(milliseconds(500), [](CallerId, TimePoint, const Answer&) {});
+  SendReads(milliseconds(500), [](CallerId, TimePoint, const Answer&) {});
   for (CallerId caller = 4; caller <= kInstances; caller += 4) {
-    if (!Kept(caller)) fleet_.parted.insert(HostOf(caller).name());
+    if (!IsKeeper(caller)) fleet_.parted.insert(HostOf(caller).name());
   }
-  const TimePoint cut_at = clock_.now();
+  const TimePoint partitioned_at = clock_.now();
   size_t refused = 0;
-  size_t waited = 0;
-  asked_of_.clear();
-  AskAround(milliseconds(4000), [&](CallerId caller, TimePoint asked,
+  size_t delayed = 0;
+  has_sent_.clear();
+  SendReads(milliseconds(4000), [&](CallerId caller, TimePoint sent_at,
                                     const Answer& answer) {
     if (fleet_.parted.count(HostOf(caller).name()) == 0) {
       EXPECT_EQ(answer.error, ErrorCode::kNone) << "not cut off: " << caller;
       return;
     }
-    if (asked < cut_at) return;
-    EXPECT_LE(answer.took, kFindOut);
+    if (sent_at < partitioned_at) return;
+    EXPECT_LE(answer.latency, kMaxDetectionTime);
     if (HostOf(caller).proxy()->ready()) return;
     ++refused;
-    waited += answer.took > kAtOnce ? 1 : 0;
+    delayed += answer.latency > kImmediate ? 1 : 0;
   });
-  Run(kFindOut);
+  Run(kMaxDetectionTime);
   EXPECT_GT(refused, 50U);
-  // Those that were under way as their instance found out.
-  EXPECT_LE(waited, 2 * fleet_.parted.size());
+  // Statements in flight when their instance detected the partition.
+  EXPECT_LE(delayed, 2 * fleet_.parted.size());
   for (CallerId caller = 1; caller <= kInstances; ++caller) {
-    // One that nobody asked anything of has nothing to notice.
+    // An instance without any statement cannot detect the partition.
     const bool parted = fleet_.parted.count(HostOf(caller).name()) > 0;
     EXPECT_EQ(HostOf(caller).proxy()->ready(),
-              !parted || asked_of_.count(caller) == 0)
+              !parted || has_sent_.count(caller) == 0)
         << caller;
   }
   fleet_.parted.clear();
   Run(milliseconds(400));
   for (const auto& host : hosts_) EXPECT_TRUE(host->proxy()->ready());
   const TimePoint healed_at = clock_.now();
-  AskAround(milliseconds(500),
-            [&](CallerId, TimePoint asked, const Answer& answer) {
-              if (asked < healed_at) return;
+  SendReads(milliseconds(500),
+            [&](CallerId, TimePoint sent_at, const Answer& answer) {
+              if (sent_at < healed_at) return;
               EXPECT_EQ(answer.error, ErrorCode::kNone);
             });
 }
 
-// Half of the instances lose power. The others must go on: a statement for a
-// keeper that is gone costs its caller a tenth of a second for each that is
-// tried, no write is left in doubt by a keeper that never got it, and nobody
-// takes himself for the one who is cut off for longer than the next probe.
-TEST_F(IsolationTest, ServesOnWhenHalfOfTheFleetIsGone) {
-  AskAround(milliseconds(500), [](CallerId, TimePoint, const Answer&) {});
+// Half of the instances lose power. The others must keep serving: each failed
+// keeper that is tried costs a statement a tenth of a second, no write is left
+// in doubt by a keeper that never received it, and no instance considers itself
+// cut off for longer than until its next probes.
+TEST_F(IsolationTest, KeepsServingWhenHalfOfTheFleetFails) {
+  SendReads(milliseconds(500), [](CallerId, TimePoint, const Answer&) {});
   for (CallerId caller = 2; caller <= kInstances; caller += 2) {
     fleet_.parted.insert(HostOf(caller).name());
   }
-  const TimePoint gone_at = clock_.now();
+  const TimePoint failed_at = clock_.now();
   size_t in_time = 0;
   size_t all = 0;
-  AskAround(milliseconds(3000), [&](CallerId caller, TimePoint asked,
-                                    const Answer& answer) {
-    if (caller % 2 == 0 || asked < gone_at) return;
-    ++all;
-    in_time +=
-        answer.error == ErrorCode::kNone && answer.took < milliseconds(400) ? 1
-                                                                            : 0;
-  });
+  SendReads(milliseconds(3000),
+            [&](CallerId caller, TimePoint sent_at, const Answer& answer) {
+              if (caller % 2 == 0 || sent_at < failed_at) return;
+              ++all;
+              in_time += answer.error == ErrorCode::kNone &&
+                                 answer.latency < milliseconds(400)
+                             ? 1
+                             : 0;
+            });
   EXPECT_GT(all, 80U);
   EXPECT_GE(in_time, all * 95 / 100);
   Run(milliseconds(300));
@@ -177,20 +179,20 @@
   }
 }
 
-// A partition leaves some instances with the databases but without any keeper
-// of the group. Their callers must be served all the same, by connections of
-// their own, and the databases must not be asked for more than they take.
-TEST_F(IsolationTest, RunsStatementsAloneWithoutAKeeperInReach) {
-  AskAround(milliseconds(500), [](CallerId, TimePoint, const Answer&) {});
+// A partition leaves some instances with the databases but without any
+// reachable keeper of the group. They must serve their callers over connections
+// of their own, without exceeding the databases' connection limits.
+TEST_F(IsolationTest, UsesOwnConnectionsWithoutAReachableKeeper) {
+  SendReads(milliseconds(500), [](CallerId, TimePoint, const Answer&) {});
   for (CallerId caller = 1; caller <= kInstances; ++caller) {
-    if (Kept(caller)) fleet_.parted.insert(HostOf(caller).name());
+    if (IsKeeper(caller)) fleet_.parted.insert(HostOf(caller).name());
   }
-  const TimePoint cut_at = clock_.now();
+  const TimePoint partitioned_at = clock_.now();
   size_t served = 0;
   size_t all = 0;
-  AskAround(milliseconds(3000),
-            [&](CallerId caller, TimePoint asked, const Answer& answer) {
-              if (asked < cut_at || Kept(caller)) return;
+  SendReads(milliseconds(3000),
+            [&](CallerId caller, TimePoint sent_at, const Answer& answer) {
+              if (sent_at < partitioned_at || IsKeeper(caller)) return;
               ++all;
               served += answer.error == ErrorCode::kNone ? 1 : 0;
             });
@@ -199,7 +201,7 @@
   for (const char* id : {"db-a", "db-b", "db-c"}) {
     EXPECT_LE(cluster_.connections(id), kConnectionLimit * 3 / 4) << id;
   }
-  // Once a keeper is in reach again the connections go.
+  // These connections are closed once a keeper is reachable again.
   fleet_.parted.clear();
   Run(milliseconds(2500));
   for (const char* id : {"db-a", "db-b", "db-c"}) {
@@ -207,16 +209,16 @@
   }
 }
 
-// A keeper stands still while it runs a read. The caller gets the answer of
-// another one, well before the keeper's silence would have used up its time.
-TEST_F(IsolationTest, AsksAnotherKeeperWhenOneFallsSilentMidway) {
+// A keeper freezes while it runs a read. The caller must get an answer through
+// another keeper well before its deadline.
+TEST_F(IsolationTest, RetriesAtAnotherKeeperWhenOneFreezes) {
   CallerId caller = 1;
-  while (Kept(caller)) ++caller;
-  Ask(caller, StatementKind::kRead, "READ k");
+  while (IsKeeper(caller)) ++caller;
+  Send(caller, StatementKind::kRead, "READ k");
   Run(milliseconds(2));
   for (CallerId other = 1; other <= kInstances; ++other) {
-    // Whichever keeper has it.
-    if (Kept(other) && HostOf(other).proxy()->callers() > 1) {
+    // The keeper that runs the statement.
+    if (IsKeeper(other) && HostOf(other).proxy()->callers() > 1) {
       fleet_.parted.insert(HostOf(other).name());
     }
   }
@@ -233,30 +235,30 @@
   return names;
 }
 
-TEST(Isolation, OneAnswerEndsTheBelief) {
+TEST(Isolation, OneResponseClearsCutOff) {
   Isolation isolation;
   isolation.SetOthers(Names(20));
   const TimePoint heard{std::chrono::seconds(100)};
   isolation.Heard(heard);
-  const TimePoint asked = heard + milliseconds(1);
-  EXPECT_TRUE(isolation.ProbesDue(asked).empty());
-  isolation.Silent("i1", asked);
-  isolation.Silent("i2", asked);
-  int told = 0;
-  for (const std::string& probed : isolation.ProbesDue(asked)) {
-    told += isolation.Silent(probed, asked) ? 1 : 0;
+  const TimePoint sent_at = heard + milliseconds(1);
+  EXPECT_TRUE(isolation.ProbesDue(sent_at).empty());
+  isolation.Silent("i1", sent_at);
+  isolation.Silent("i2", sent_at);
+  int transitions = 0;
+  for (const std::string& probed : isolation.ProbesDue(sent_at)) {
+    transitions += isolation.Silent(probed, sent_at) ? 1 : 0;
   }
-  EXPECT_EQ(told, 1);
+  EXPECT_EQ(transitions, 1);
   EXPECT_TRUE(isolation.cut_off());
-  EXPECT_FALSE(isolation.ProbesDue(asked + std::chrono::seconds(1)).empty());
-  EXPECT_TRUE(isolation.Heard(asked));
+  EXPECT_FALSE(isolation.ProbesDue(sent_at + std::chrono::seconds(1)).empty());
+  EXPECT_TRUE(isolation.Heard(sent_at));
   EXPECT_FALSE(isolation.cut_off());
-  EXPECT_TRUE(isolation.ProbesDue(asked + std::chrono::seconds(2)).empty());
+  EXPECT_TRUE(isolation.ProbesDue(sent_at + std::chrono::seconds(2)).empty());
 }
 
-// The keepers that statements go to are gone, the same ones over and over. That
-// says nothing about the rest of the fleet, which the probes ask.
-TEST(Isolation, TheSilenceOfKeepersIsNotThatOfAll) {
+// Statements to the same few failed keepers time out repeatedly. This is no
+// evidence about the rest of the fleet, which the probes check.
+TEST(Isolation, TimeoutsOfKeepersAloneDoNotCutOff) {
   Isolation isolation;
   isolation.SetOthers(Names(50));
   for (int i = 0; i < 100; ++i) {
@@ -266,22 +268,22 @@
   EXPECT_FALSE(isolation.cut_off());
 }
 
-// Ten instances are asked at once on the smaller side of a partition. One
-// answers after a millisecond; that the nine others have not answered shows a
-// tenth of a second later and must not outweigh it, or the instance would turn
-// callers away whom it could serve through the one.
-TEST(Isolation, SilencesOlderThanAnAnswerDoNotCount) {
+// Ten instances are probed at once from the minority side of a partition. One
+// responds after a millisecond; the timeouts of the nine others follow a tenth
+// of a second later. If they outweighed the response, the instance would reject
+// callers that it could serve through the one reachable peer.
+TEST(Isolation, TimeoutsOlderThanAResponseDoNotCount) {
   Isolation isolation;
   isolation.SetOthers(Names(10));
-  const TimePoint asked{std::chrono::seconds(100)};
-  isolation.Heard(asked + milliseconds(1));
+  const TimePoint sent_at{std::chrono::seconds(100)};
+  isolation.Heard(sent_at + milliseconds(1));
   for (const std::string& other : Names(10)) {
-    EXPECT_FALSE(isolation.Silent(other, asked));
+    EXPECT_FALSE(isolation.Silent(other, sent_at));
   }
   EXPECT_FALSE(isolation.cut_off());
 }
 
-// An instance alone in its fleet has nobody to be cut off from.
+// An instance without peers cannot be cut off.
 TEST(Isolation, AloneIsNotCutOff) {
   Isolation isolation;
   isolation.SetOthers({});
--- a/testsuite/session_placement/placement_test.cc
+++ b/testsuite/session_placement/placement_test.cc
@@ -20,11 +20,11 @@
   return candidate;
 }
 
-// A replica falls seconds behind for a while and then catches up. Reads are
-// sent elsewhere meanwhile. If nobody asked the replica again, the primary
-// would serve all reads from then on, and callers of a group with enough
-// databases would be refused for the rest of the day.
-TEST(LagEstimate, FindsOutThatAReplicaHasCaughtUp) {
+// A replica lags by seconds for a while and then catches up. Reads avoid it in
+// the meantime. Without trials of the replica, the primary would serve all
+// reads from then on and reject some of them although the group has enough
+// databases.
+TEST(LagEstimate, DetectsThatAReplicaHasCaughtUp) {
   LagEstimate lag;
   int64_t refused_at = 0;
   for (int64_t now = 0; now < 2000; now += 50) {
@@ -33,25 +33,25 @@
     refused_at = now;
   }
   EXPECT_FALSE(lag.Expects(At(refused_at + 100), milliseconds(1400)));
-  // It has caught up. Within a third of a second a read tries it.
+  // The replica has caught up and is tried within a third of a second.
   const int64_t tried_at = refused_at + 300;
   EXPECT_TRUE(lag.Expects(At(tried_at), milliseconds(1400)));
   lag.Served(milliseconds(1400));
   EXPECT_TRUE(lag.Expects(At(tried_at + 1), milliseconds(1400)));
 }
 
-// While a replica is far behind, each read that tries it comes back refused
-// and is late by a round trip. Only a few a second may do so.
+// A read that tries a lagging replica is rejected and delayed by a round trip.
+// Such trials are limited to a few per second.
 TEST(LagEstimate, TriesALaggingReplicaSeldom) {
   LagEstimate lag;
-  int tries = 0;
+  int trials = 0;
   for (int64_t now = 0; now < 10000; now += 5) {
     if (!lag.Expects(At(now), milliseconds(500))) continue;
-    ++tries;
+    ++trials;
     lag.Refused(At(now), milliseconds(500));
   }
-  EXPECT_GE(tries, 10);
-  EXPECT_LE(tries, 45);
+  EXPECT_GE(trials, 10);
+  EXPECT_LE(trials, 45);
 }
 
 TEST(LagEstimate, ServesPositionsOlderThanItsBound) {
@@ -62,8 +62,8 @@
   EXPECT_FALSE(lag.Expects(At(40), milliseconds(100)));
 }
 
-// A replica is found to be three seconds behind by one answer, and close by a
-// later one. Reads follow the later finding at once.
+// One answer shows that a replica lags by three seconds, a later one that it
+// has nearly caught up. The estimate must follow the later answer immediately.
 TEST(LagEstimate, FollowsWhatAnswersShow) {
   LagEstimate lag;
   lag.Observed(milliseconds(3000));
@@ -76,26 +76,27 @@
 TEST(OrderForRead, PrefersReplicasAndTheOwnFailureDomain) {
   ReadCandidate primary = Candidate(0, 0);
   primary.primary = true;
-  ReadCandidate far = Candidate(1, 0);
-  far.same_domain = false;
-  const ReadCandidate near = Candidate(2, 0);
-  EXPECT_EQ(OrderForRead({primary, far, near}), (std::vector<size_t>{2, 1, 0}));
+  ReadCandidate remote = Candidate(1, 0);
+  remote.same_domain = false;
+  const ReadCandidate local = Candidate(2, 0);
+  EXPECT_EQ(OrderForRead({primary, remote, local}),
+            (std::vector<size_t>{2, 1, 0}));
 }
 
-// A replica that has much to do would keep a read waiting while the primary
-// has nothing to do.
+// A read would wait at a replica with statements in flight while the primary is
+// idle.
 TEST(OrderForRead, GoesToThePrimaryWhenReplicasAreBusy) {
   ReadCandidate primary = Candidate(0, 0);
   primary.primary = true;
   EXPECT_EQ(OrderForRead({primary, Candidate(1, 3)}).front(), 0U);
 }
 
-// A database that has fallen silent may never answer; reads that go there
-// would wait until they are sent once more elsewhere.
-TEST(OrderForRead, PutsSilentDatabasesLast) {
-  ReadCandidate silent = Candidate(0, 0);
-  silent.suspect = true;
-  EXPECT_EQ(OrderForRead({silent, Candidate(1, 5)}).front(), 1U);
+// A suspected database may never answer; reads sent to it would wait until they
+// are hedged.
+TEST(OrderForRead, PutsSuspectedDatabasesLast) {
+  ReadCandidate suspected = Candidate(0, 0);
+  suspected.suspect = true;
+  EXPECT_EQ(OrderForRead({suspected, Candidate(1, 5)}).front(), 1U);
 }
 
 }  // namespace
--- a/testsuite/session_pool/database_pool_test.cc
+++ b/testsuite/session_pool/database_pool_test.cc
@@ -1,4 +1,5 @@
-// Which connections to a database are held, for whom, and which may go.
+// Accounting of the connections to one database and the choice of the one to
+// evict.
 
 #include "ryefold/core/session/database_pool.h"
 
@@ -50,9 +51,9 @@
   EXPECT_EQ(pool.newest_idle(), 3U);
 }
 
-// Two workspaces that wait evict each other's new connections and neither is
-// ever served.
-TEST(DatabasePool, KeepsANewConnectionForWhomItWasOpened) {
+// Guards against two waiting workspaces that evict each other's new
+// connections, so that neither is ever served.
+TEST(DatabasePool, ReservesANewConnectionForItsWorkspace) {
   DatabasePool pool;
   pool.Opening(kStart, 1, "v");
   pool.Opened(1);
--- a/testsuite/session_token/token_test.cc
+++ b/testsuite/session_token/token_test.cc
@@ -10,8 +10,8 @@
 namespace ryefold::core::session {
 namespace {
 
-// A log is the term of each of its entries. Two entries are the same entry
-// when term and index are equal, as in Raft.
+// A log is represented by the term of each of its entries. Two entries are the
+// same if term and index are equal, as in Raft.
 using Log = std::vector<uint64_t>;
 
 std::vector<TermStart> StartsOf(const Log& log) {
@@ -27,10 +27,10 @@
   return log.empty() ? LogPosition() : LogPosition{log.back(), log.size()};
 }
 
-// All logs that a run of promotions leaves behind, one per term: each new
-// primary takes some log, keeps all of it or the part that it had received,
-// and appends entries of its own term.
-std::vector<Log> SomeHistory() {
+// Returns the logs that a sequence of promotions produces, one per term: each
+// new primary continues some earlier log, keeps all of it or the prefix that it
+// had received, and appends entries of its own term.
+std::vector<Log> ArbitraryHistory() {
   std::vector<Log> logs(1);
   const uint64_t terms = *rc::gen::inRange<uint64_t>(1, 7);
   for (uint64_t term = 1; term <= terms; ++term) {
@@ -51,7 +51,7 @@
   return i;
 }
 
-Token SomeToken(size_t max_groups) {
+Token ArbitraryToken(size_t max_groups) {
   Token token;
   const size_t groups = *rc::gen::inRange<size_t>(0, max_groups + 1);
   for (size_t i = 0; i < groups; ++i) {
@@ -66,7 +66,7 @@
 }
 
 RC_GTEST_PROP(SessionToken, RoundTripsInSafeCharacters, ()) {
-  const Token token = SomeToken(kMaxGroups);
+  const Token token = ArbitraryToken(kMaxGroups);
   const std::string text = Encode(token);
   RC_ASSERT(Decode(text) == token);
   RC_ASSERT(std::all_of(text.begin(), text.end(), [](unsigned char c) {
@@ -74,11 +74,10 @@
   }));
 }
 
-// A caller or a proxy on the way cuts a token short or changes a character. A
-// damaged token taken for a smaller one would let the session miss its own
-// writes.
-RC_GTEST_PROP(SessionToken, DamageIsNoticed, ()) {
-  std::string text = Encode(SomeToken(8));
+// A caller or an intermediary truncates a token or changes a character. If the
+// damaged token were accepted, the session could miss its own writes.
+RC_GTEST_PROP(SessionToken, DamageIsDetected, ()) {
+  std::string text = Encode(ArbitraryToken(8));
   const size_t at = *rc::gen::inRange<size_t>(0, text.size());
   if (*rc::gen::arbitrary<bool>()) {
     const char c = *rc::gen::distinctFrom(text[at]);
@@ -112,9 +111,9 @@
   }
 }
 
-// A session works with more groups than a token holds, writes to one that did
-// not fit and reads it back from a replica that lags. If the position were
-// just dropped, the read would not show the write.
+// A session uses more groups than a token holds, writes to one that did not fit
+// and reads it from a lagging replica. If the position were dropped without a
+// trace, the read could miss the write.
 RC_GTEST_PROP(SessionToken, AGroupThatDoesNotFitIsReadCurrent, ()) {
   Token token;
   const size_t groups = *rc::gen::inRange<size_t>(1, 3 * kMaxGroups);
@@ -149,7 +148,7 @@
 }
 
 RC_GTEST_PROP(SessionToken, CoversSaysWhetherTheEntryIsInTheLog, ()) {
-  const auto logs = SomeHistory();
+  const auto logs = ArbitraryHistory();
   const Log& log = *rc::gen::elementOf(logs);
   const Log& other = *rc::gen::elementOf(logs);
   const size_t index = *rc::gen::inRange<size_t>(1, other.size() + 1);
@@ -158,11 +157,11 @@
             (CommonPrefix(log, other) >= index));
 }
 
-// A session has read a write that was never acknowledged, and a promotion has
-// discarded it. No database will ever hold that entry; a session that waited
-// for it would wait until the deadline of every read it makes.
-RC_GTEST_PROP(SessionToken, CutBackNamesWhatStillExistsAndKeepsTheRest, ()) {
-  const auto logs = SomeHistory();
+// A session has read a write that was never acknowledged and that a promotion
+// discarded. No database will ever hold that entry; waiting for it would make
+// every read of the session fail at its deadline.
+RC_GTEST_PROP(SessionToken, DiscardedPositionsAreReducedToExistingEntries, ()) {
+  const auto logs = ArbitraryHistory();
   const Log& seen = *rc::gen::elementOf(logs);
   const Log& now = logs.back();
   const size_t index = *rc::gen::inRange<size_t>(1, seen.size() + 1);
--- a/testsuite/session_watermarks/watermarks_test.cc
+++ b/testsuite/session_watermarks/watermarks_test.cc
@@ -22,10 +22,10 @@
   EXPECT_FALSE(marks.Covering(At(201)).has_value());
 }
 
-// A promotion discards what the new primary had not received. A read that
-// asked for a discarded position would be refused by every database, and the
-// caller would get nothing until its own position had been forgotten.
-TEST(Watermarks, ForgetsPositionsThatAPromotionMayHaveDiscarded) {
+// A promotion discards what the new primary had not received. Every database
+// would reject a read that requires a discarded position, and the caller would
+// get no answer until its own position had been dropped.
+TEST(Watermarks, DropsPositionsThatAPromotionMayHaveDiscarded) {
   Watermarks marks;
   marks.Record(At(0), {1, 500});
   marks.Record(At(100), {2, 498});
@@ -34,8 +34,8 @@
   EXPECT_EQ(marks.Current({2, 510}), (LogPosition{2, 510}));
 }
 
-// The answer of a replaced primary can arrive after its successor's. Taking
-// it would let reads miss what the successor has committed since.
+// The answer of a replaced primary can arrive after its successor's. If it were
+// accepted, reads would miss later commits of the successor.
 TEST(Watermarks, IgnoresALateMarkOfAnOlderTerm) {
   Watermarks marks;
   marks.Record(At(100), {2, 5});
@@ -43,8 +43,8 @@
   EXPECT_EQ(marks.newest()->position, (LogPosition{2, 5}));
 }
 
-// How far a replica is behind is read off the position in its answers. It
-// must never look fresher than it is: reads would be sent to it in vain.
+// The lag of a replica is derived from the position in its answers. It must
+// never be underestimated: reads would be sent to the replica and rejected.
 TEST(Watermarks, BoundsHowFarALogIsBehind) {
   Watermarks marks;
   marks.Record(At(0), {1, 10});
@@ -61,17 +61,17 @@
 };
 
 RC_GTEST_PROP(WatermarksProperty, CoversEveryCommitBeforeTheMoment, ()) {
-  // A primary commits at random moments and is asked at random moments; the
-  // mark for any moment holds all commits from before it.
+  // A primary commits and is asked for its position at random times; the mark
+  // for any time includes all earlier commits.
   Watermarks marks;
   std::vector<Commit> commits;
   uint64_t index = 0;
   int64_t now = 0;
   const auto steps =
       *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 60));
-  for (const int step : steps) {
-    now += step;
-    if (step % 2 == 0) {
+  for (const int delay : steps) {
+    now += delay;
+    if (delay % 2 == 0) {
       commits.push_back({now, {1, ++index}});
     } else {
       marks.Record(At(now), {1, index});
