--- a/testsuite/session_isolation/isolation_test.cc
+++ b/testsuite/session_isolation/isolation_test.cc
@@ -110,7 +110,7 @@
 TEST_F(IsolationTest, RefusesAtOnceWhenCutOffFromAllOthers) {
   SendReads(milliseconds(500), [](CallerId, TimePoint, const Answer&) {});
   for (CallerId caller = 4; caller <= kInstances; caller += 4) {
-    if (!IsKeeper(caller)) fleet_.parted.insert(HostOf(caller).name());
+    if (!IsKeeper(caller)) fleet_.partitioned.insert(HostOf(caller).name());
   }
   const TimePoint partitioned_at = clock_.now();
   size_t refused = 0;
@@ -118,7 +118,7 @@
   has_sent_.clear();
   SendReads(milliseconds(4000), [&](CallerId caller, TimePoint sent_at,
                                     const Answer& answer) {
-    if (fleet_.parted.count(HostOf(caller).name()) == 0) {
+    if (fleet_.partitioned.count(HostOf(caller).name()) == 0) {
       EXPECT_EQ(answer.error, ErrorCode::kNone) << "not cut off: " << caller;
       return;
     }
@@ -131,15 +131,16 @@
   Run(kMaxDetectionTime);
   EXPECT_GT(refused, 50U);
   // Statements in flight when their instance detected the partition.
-  EXPECT_LE(delayed, 2 * fleet_.parted.size());
+  EXPECT_LE(delayed, 2 * fleet_.partitioned.size());
   for (CallerId caller = 1; caller <= kInstances; ++caller) {
     // An instance without any statement cannot detect the partition.
-    const bool parted = fleet_.parted.count(HostOf(caller).name()) > 0;
+    const bool partitioned =
+        fleet_.partitioned.count(HostOf(caller).name()) > 0;
     EXPECT_EQ(HostOf(caller).proxy()->ready(),
-              !parted || has_sent_.count(caller) == 0)
+              !partitioned || has_sent_.count(caller) == 0)
         << caller;
   }
-  fleet_.parted.clear();
+  fleet_.partitioned.clear();
   Run(milliseconds(400));
   for (const auto& host : hosts_) EXPECT_TRUE(host->proxy()->ready());
   const TimePoint healed_at = clock_.now();
@@ -157,7 +158,7 @@
 TEST_F(IsolationTest, KeepsServingWhenHalfOfTheFleetFails) {
   SendReads(milliseconds(500), [](CallerId, TimePoint, const Answer&) {});
   for (CallerId caller = 2; caller <= kInstances; caller += 2) {
-    fleet_.parted.insert(HostOf(caller).name());
+    fleet_.partitioned.insert(HostOf(caller).name());
   }
   const TimePoint failed_at = clock_.now();
   size_t in_time = 0;
@@ -185,7 +186,7 @@
 TEST_F(IsolationTest, UsesOwnConnectionsWithoutAReachableKeeper) {
   SendReads(milliseconds(500), [](CallerId, TimePoint, const Answer&) {});
   for (CallerId caller = 1; caller <= kInstances; ++caller) {
-    if (IsKeeper(caller)) fleet_.parted.insert(HostOf(caller).name());
+    if (IsKeeper(caller)) fleet_.partitioned.insert(HostOf(caller).name());
   }
   const TimePoint partitioned_at = clock_.now();
   size_t served = 0;
@@ -202,7 +203,7 @@
     EXPECT_LE(cluster_.connections(id), kConnectionLimit * 3 / 4) << id;
   }
   // These connections are closed once a keeper is reachable again.
-  fleet_.parted.clear();
+  fleet_.partitioned.clear();
   Run(milliseconds(2500));
   for (const char* id : {"db-a", "db-b", "db-c"}) {
     EXPECT_LE(cluster_.connections(id), 16U) << id;
@@ -219,10 +220,10 @@
   for (CallerId other = 1; other <= kInstances; ++other) {
     // The keeper that runs the statement.
     if (IsKeeper(other) && HostOf(other).proxy()->callers() > 1) {
-      fleet_.parted.insert(HostOf(other).name());
+      fleet_.partitioned.insert(HostOf(other).name());
     }
   }
-  ASSERT_EQ(fleet_.parted.size(), 1U);
+  ASSERT_EQ(fleet_.partitioned.size(), 1U);
   Run(milliseconds(600));
   ASSERT_EQ(answers_.count(caller), 1U);
   EXPECT_EQ(answers_[caller].error, ErrorCode::kNone);
