--- a/src/include/ryefold/core/answer_limits.h
+++ b/src/include/ryefold/core/answer_limits.h
@@ -16,7 +16,7 @@
   /// long deadlines: a peer that accepts a call but never answers would
   /// otherwise block the caller until the deadline, long after the peer has
   /// recovered.
-  std::chrono::milliseconds silence{0};
+  std::chrono::milliseconds inactivity_timeout{0};
 };
 
 }  // namespace ryefold::core
--- a/src/include/ryefold/core/event.h
+++ b/src/include/ryefold/core/event.h
@@ -11,7 +11,7 @@
 namespace ryefold::core {
 
 /// Importance of an event when log lines have to be dropped.
-enum class EventWeight : uint8_t {
+enum class EventPriority : uint8_t {
   kRequest,  ///< Concerns one request; dropped first under load.
   kState,    ///< A change of state, such as a dependency lost or regained.
 };
@@ -20,23 +20,23 @@
 class EventSink {
  public:
   virtual ~EventSink() = default;
-  /// Returns whether a line of this weight would currently be kept. Lets the
+  /// Returns whether a line of this priority would currently be kept. Lets the
   /// caller skip formatting a line that would be dropped.
-  virtual bool Wants(EventWeight weight) = 0;
-  virtual void Write(EventWeight weight, std::string_view line) = 0;
+  virtual bool IsEnabled(EventPriority priority) = 0;
+  virtual void Write(EventPriority priority, std::string_view line) = 0;
 };
 
 /// Builds one line and passes it to the sink on destruction. With a null sink,
 /// or one that does not want the line, every call is a no-op.
 class Event {
  public:
-  Event(EventSink* sink, EventWeight weight, std::string_view name)
-      : sink_(sink != nullptr && sink->Wants(weight) ? sink : nullptr),
-        weight_(weight) {
+  Event(EventSink* sink, EventPriority priority, std::string_view name)
+      : sink_(sink != nullptr && sink->IsEnabled(priority) ? sink : nullptr),
+        priority_(priority) {
     if (sink_ != nullptr) line_.append("event=").append(name);
   }
   ~Event() {
-    if (sink_ != nullptr) sink_->Write(weight_, line_);
+    if (sink_ != nullptr) sink_->Write(priority_, line_);
   }
   Event(const Event&) = delete;
   Event& operator=(const Event&) = delete;
@@ -65,7 +65,7 @@
 
  private:
   EventSink* sink_;
-  EventWeight weight_;
+  EventPriority priority_;
   std::string line_;
 };
 
--- a/src/include/ryefold/core/outcome.h
+++ b/src/include/ryefold/core/outcome.h
@@ -73,7 +73,7 @@
                                                 bool confirmed);
 
   /// Another instance, which holds evidence of its own, reported "not run".
-  static NotRunProof StatedByPeer() { return NotRunProof(); }
+  static NotRunProof ReportedByPeer() { return NotRunProof(); }
 
  private:
   NotRunProof() = default;
--- a/src/include/ryefold/core/session/adopted_sessions.h
+++ b/src/include/ryefold/core/session/adopted_sessions.h
@@ -16,19 +16,19 @@
 /// session.
 class AdoptedSessions {
  public:
-  struct Entry {
+  struct AdoptedStatement {
     CallerId caller = 0;
     /// Number of this statement, unique among all adopted statements.
     uint64_t statement = 0;
     /// Caller to be closed first: the other instance dropped its session
     /// without notification. 0 if none.
-    CallerId abandoned = 0;
+    CallerId superseded_caller = 0;
   };
 
   /// Registers a forwarded statement of `session`.
-  Entry Enter(const std::string& session, bool in_transaction);
+  AdoptedStatement Register(const std::string& session, bool in_transaction);
   /// Returns whether `statement` is the caller's most recent one.
-  bool Current(CallerId caller, uint64_t statement) const;
+  bool IsNewestStatement(CallerId caller, uint64_t statement) const;
   std::optional<CallerId> Find(const std::string& session) const;
   void Erase(CallerId caller);
 
--- a/src/include/ryefold/core/session/confirmation.h
+++ b/src/include/ryefold/core/session/confirmation.h
@@ -22,11 +22,11 @@
   /// survives the loss of its primary to the degree that the rule requires.
   /// `received` are the positions that replicas of the group are known to have
   /// received, applied or not.
-  virtual bool Holds(const LogPosition& position,
-                     const std::vector<LogPosition>& received) const = 0;
+  virtual bool IsSatisfied(const LogPosition& position,
+                           const std::vector<LogPosition>& received) const = 0;
   /// Number of databases, including the primary, that hold a commit when it is
   /// acknowledged.
-  virtual size_t copies() const = 0;
+  virtual size_t required_copies() const = 0;
   /// Short name for logs and settings.
   virtual std::string_view name() const = 0;
 };
@@ -36,9 +36,9 @@
 /// write.
 class ConfirmedByPrimary : public Confirmation {
  public:
-  bool Holds(const LogPosition& position,
-             const std::vector<LogPosition>& received) const override;
-  size_t copies() const override { return 1; }
+  bool IsSatisfied(const LogPosition& position,
+                   const std::vector<LogPosition>& received) const override;
+  size_t required_copies() const override { return 1; }
   std::string_view name() const override { return "primary"; }
 };
 
@@ -48,9 +48,9 @@
 /// have been truncated in between.
 class ConfirmedByReplica : public Confirmation {
  public:
-  bool Holds(const LogPosition& position,
-             const std::vector<LogPosition>& received) const override;
-  size_t copies() const override { return 2; }
+  bool IsSatisfied(const LogPosition& position,
+                   const std::vector<LogPosition>& received) const override;
+  size_t required_copies() const override { return 2; }
   std::string_view name() const override { return "replica"; }
 };
 
--- a/src/include/ryefold/core/session/database_pool.h
+++ b/src/include/ryefold/core/session/database_pool.h
@@ -29,9 +29,9 @@
 
   /// Adds a connection that is being opened for `workspace`. An empty workspace
   /// stands for the proxy's own calls and for callers without a workspace.
-  void Opening(TimePoint now, ConnectionId connection,
-               const std::string& workspace);
-  void Opened(ConnectionId connection);
+  void AddOpening(TimePoint now, ConnectionId connection,
+                  const std::string& workspace);
+  void MarkOpen(ConnectionId connection);
   /// Removes a connection that was closed or failed to open.
   void Remove(ConnectionId connection);
   /// Adds the connection to the idle ones.
--- a/src/include/ryefold/core/session/directory.h
+++ b/src/include/ryefold/core/session/directory.h
@@ -51,7 +51,7 @@
   std::map<std::string, GroupLimits> groups;
   workspace::WorkspaceTable workspaces;
   /// Idle time after which an open transaction may be rolled back.
-  std::chrono::milliseconds transaction_idle{3000};
+  std::chrono::milliseconds transaction_idle_timeout{3000};
 };
 
 /// One database as listed by the platform. The list may be out of date: it is a
@@ -71,7 +71,7 @@
   /// Start time of the database process by its own clock; the epoch if not
   /// reported. A database restarted under the same id has lost its state, so
   /// knowledge about it is valid only for one start time.
-  std::chrono::sys_time<std::chrono::milliseconds> born;
+  std::chrono::sys_time<std::chrono::milliseconds> started_at;
 
   bool operator==(const Database&) const = default;
 };
--- a/src/include/ryefold/core/session/forwarding.h
+++ b/src/include/ryefold/core/session/forwarding.h
@@ -22,9 +22,9 @@
 using ForwardId = uint64_t;
 
 /// A prepared statement of a session.
-struct PreparedText {
+struct PreparedTemplate {
   bool writes = false;
-  std::string shape;
+  std::string text;
 };
 
 /// Everything that a keeper needs to run one statement. The session state is
@@ -46,7 +46,7 @@
   /// Digest of the caller's key.
   workspace::KeyDigest key;
   std::map<std::string, std::string> variables;
-  std::map<std::string, PreparedText> prepared;
+  std::map<std::string, PreparedTemplate> prepared;
   /// Position of the session's last acknowledged commit.
   LogPosition committed;
   /// The statement belongs to the session's open transaction at this keeper.
@@ -60,15 +60,15 @@
 };
 
 /// Time limits of a forwarded statement.
-struct ForwardTerms {
+struct ForwardTimeouts {
   TimePoint deadline;
   /// The statement is sent once the keeper has responded. If it has not
   /// responded by this time, the call fails as not sent, and the statement can
   /// run elsewhere.
-  TimePoint alive_by;
+  TimePoint send_by;
   /// If true, the call fails as lost when the keeper becomes unreachable. False
   /// for statements with possible side effects, whose answer is still needed.
-  bool lost_in_silence = false;
+  bool fail_if_unreachable = false;
 };
 
 /// Streams between instances. No method delivers an event before it returns.
@@ -77,10 +77,10 @@
   virtual ~Forwarder() = default;
 
   /// Sends a statement to `keeper`. Results in `Proxy::ForwardAnswered`, at
-  /// `terms.deadline` at the latest.
+  /// `timeouts.deadline` at the latest.
   virtual void Forward(ForwardId call, const std::string& keeper,
                        const ForwardedStatement& statement,
-                       const ForwardTerms& terms) = 0;
+                       const ForwardTimeouts& timeouts) = 0;
   /// Checks whether an instance is reachable. Results in
   /// `Proxy::InstanceProbed`, at `deadline` at the latest.
   virtual void Probe(const std::string& instance, TimePoint deadline) = 0;
@@ -110,17 +110,17 @@
 
 /// Returns the number of connections that each of `keepers` may hold to one
 /// database.
-uint32_t ConnectionsOfKeeper(uint32_t connection_limit, size_t keepers,
-                             bool by_workspace = false);
+uint32_t ConnectionsPerKeeper(uint32_t connection_limit, size_t keepers,
+                              bool by_workspace = false);
 
 /// Returns the number of statements that each of `holders` instances may have
 /// in flight at a database that runs `slots` concurrently.
-uint32_t WindowOf(uint32_t slots, size_t holders);
+uint32_t InFlightLimit(uint32_t slots, size_t holders);
 
 /// Returns the number of candidates before `instance` in rendezvous hashing
 /// order for `key`.
-size_t RankAmong(std::string_view key, const std::string& instance,
-                 const std::vector<KeeperCandidate>& candidates);
+size_t RendezvousRank(std::string_view key, const std::string& instance,
+                      const std::vector<KeeperCandidate>& candidates);
 
 /// Returns the keepers of `group`: the first `count` candidates in rendezvous
 /// hashing order. The result is the same on every instance with the same
--- a/src/include/ryefold/core/session/leadership_proof.h
+++ b/src/include/ryefold/core/session/leadership_proof.h
@@ -46,13 +46,14 @@
   /// newest term that `leader` is known to have led; `position` reflects it
   /// only after the first commit of the term. Returns false if a newer term has
   /// been claimed before.
-  bool Claimed(const std::string& leader, uint64_t term, TimePoint sent,
-               const LogPosition& position);
+  bool RecordClaim(const std::string& leader, uint64_t term, TimePoint sent,
+                   const LogPosition& position);
   /// Records that `database`, asked at `asked`, has seen no term above `term`.
-  void Told(const std::string& database, TimePoint asked, uint64_t term);
+  void RecordWitness(const std::string& database, TimePoint asked,
+                     uint64_t term);
 
   /// Discards the evidence about a database that has lost its state.
-  void Forget(const std::string& database);
+  void DiscardEvidence(const std::string& database);
 
   /// Returns the time until which the leader is proved to have led, provided
   /// that it claimed to: `needed` of `others` were asked at or after that time
--- a/src/include/ryefold/core/session/placement.h
+++ b/src/include/ryefold/core/session/placement.h
@@ -14,17 +14,17 @@
 /// Upper bound of a replica's replication lag, estimated from its answers.
 class LagEstimate {
  public:
-  /// An answer showed that the replica lags by at most `behind`, including
+  /// An answer showed that the replica lags by at most `lag`, including
   /// network delay.
-  void Observed(std::chrono::milliseconds lag);
+  void RecordLag(std::chrono::milliseconds lag);
   /// The replica rejected a position that a primary had `age` ago.
-  void Refused(TimePoint now, std::chrono::milliseconds age);
+  void RecordRejection(TimePoint now, std::chrono::milliseconds age);
   /// The replica served a read at a position that a primary had `age` ago.
-  void Served(std::chrono::milliseconds age);
+  void RecordServed(std::chrono::milliseconds age);
   /// Returns whether the replica should be tried for a position of this age: it
   /// is expected to hold the position, or a trial is due. False for a short
   /// time after a rejection.
-  bool Expects(TimePoint now, std::chrono::milliseconds age) const;
+  bool ShouldTry(TimePoint now, std::chrono::milliseconds age) const;
 
   std::chrono::milliseconds bound() const { return bound_; }
 
@@ -53,7 +53,7 @@
   /// Its log is known or expected to hold the requested position.
   bool expected_to_hold = false;
   /// Timed out or rejected a connection recently.
-  bool suspect = false;
+  bool suspected = false;
   /// Statements of this instance in flight at the database.
   uint32_t in_flight = 0;
   std::chrono::microseconds latency{0};
--- a/src/include/ryefold/core/session/statement.h
+++ b/src/include/ryefold/core/session/statement.h
@@ -79,7 +79,7 @@
   /// Last position received, applied or not.
   LogPosition received;
   /// Statements running or queued.
-  uint32_t busy = 0;
+  uint32_t queue_depth = 0;
   /// Connections held by all callers together.
   uint32_t connections = 0;
 };
--- a/src/include/ryefold/core/session/token.h
+++ b/src/include/ryefold/core/session/token.h
@@ -45,15 +45,15 @@
              const LogPosition& position);
 
 /// What a session requires of a read of one group.
-struct Need {
+struct ReadRequirement {
   LogPosition seen;
   /// The position was not recorded, so only data of age 0, which holds every
   /// acknowledged write, is certain to hold the session's writes.
-  bool current = false;
+  bool must_be_current = false;
 };
 
 /// Returns what `token` requires of a read of `group`.
-Need NeedOf(const Token& token, const std::string& group);
+ReadRequirement RequirementOf(const Token& token, const std::string& group);
 
 /// Limits `position` to entries that still exist. `starts` are the known terms
 /// of the group, oldest first. A position at or after the start of a newer term
@@ -61,8 +61,8 @@
 /// entry before that term, since a read that waits for a discarded entry never
 /// completes. No acknowledged write is excluded: a newer term starts after
 /// every entry that a majority held.
-LogPosition CutBack(const LogPosition& position,
-                    const std::vector<TermStart>& starts);
+LogPosition LimitToExisting(const LogPosition& position,
+                            const std::vector<TermStart>& starts);
 
 /// Returns whether a database whose log ends at `last`, with these term starts,
 /// holds all entries up to `position`.
--- a/src/include/ryefold/core/session/watermarks.h
+++ b/src/include/ryefold/core/session/watermarks.h
@@ -26,7 +26,7 @@
   /// Starts a new term after a promotion. Drops all marks: they may refer to
   /// entries that the promotion discarded, and reads would wait for them until
   /// the first commit of the new term.
-  void NewTerm(uint64_t term);
+  void StartTerm(uint64_t term);
 
   /// Adds a mark. A position of a newer term drops all older marks, for the
   /// same reason. A position of an older term is ignored.
@@ -34,18 +34,18 @@
 
   /// Returns the oldest mark at or after `not_before`, which replicas are most
   /// likely to hold. Returns nullopt if every mark is older.
-  std::optional<Mark> Covering(TimePoint not_before) const;
+  std::optional<Mark> OldestSince(TimePoint not_before) const;
 
   /// Returns an upper bound of the lag of a log that ends at `position`: the
   /// time since the newest mark that the log holds. Returns nullopt if it holds
   /// no mark.
-  std::optional<std::chrono::milliseconds> Behind(
+  std::optional<std::chrono::milliseconds> LagBound(
       TimePoint now, const LogPosition& position) const;
 
   /// Returns the position that a session that saw `seen` must require. A
   /// position of an older term is replaced by the first known position of the
   /// newest term, which includes everything that the promotion kept.
-  LogPosition Current(const LogPosition& seen) const;
+  LogPosition RequiredPosition(const LogPosition& seen) const;
 
   /// Returns the newest mark, or nullopt if there is none.
   std::optional<Mark> newest() const;
--- a/src/include/ryefold/task/event_log.h
+++ b/src/include/ryefold/task/event_log.h
@@ -27,8 +27,8 @@
   EventLog(Loop* loop, int fd, std::string instance, EventBudget budget);
   ~EventLog() override;
 
-  bool Wants(core::EventWeight weight) override;
-  void Write(core::EventWeight weight, std::string_view line) override;
+  bool IsEnabled(core::EventPriority weight) override;
+  void Write(core::EventPriority weight, std::string_view line) override;
 
   /// Writes what is waiting, as far as the descriptor takes it.
   void Flush();
--- a/src/libcore/failover/coordinator.cc
+++ b/src/libcore/failover/coordinator.cc
@@ -189,7 +189,7 @@
       ProbeIfDue(now, group, &state, /*suspected=*/true);
       continue;
     }
-    Event(events_, EventWeight::kState, "promotion_ordered")
+    Event(events_, EventPriority::kState, "promotion_ordered")
         .Add("group", group.group)
         .Add("database", candidate->id)
         .Add("cause", cause)
@@ -212,7 +212,7 @@
   const auto found = groups_.find(group);
   if (found == groups_.end()) return;
   GroupState& state = found->second;
-  Event(events_, EventWeight::kState, "promotion_answered")
+  Event(events_, EventPriority::kState, "promotion_answered")
       .Add("group", group)
       .Add("database", state.ordered_database)
       .Add("token", token)
--- a/src/libcore/failover/election.cc
+++ b/src/libcore/failover/election.cc
@@ -107,14 +107,14 @@
   token_ = token;
   renewing_ = false;
   deadline_ = call_sent_at_ + timing_.renew_interval;
-  Event(events_, EventWeight::kState, "duty_held")
+  Event(events_, EventPriority::kState, "duty_held")
       .Add("token", token)
       .Add("lease", lease_)
       .Add("valid_for", valid_until_ - now);
 }
 
 void Election::StepDown(TimePoint now, std::string_view reason) {
-  Event(events_, EventWeight::kState, "duty_lost")
+  Event(events_, EventPriority::kState, "duty_lost")
       .Add("token", token_)
       .Add("reason", reason);
   port_->EndLease(std::exchange(lease_, 0));
--- a/src/libcore/group/keeper_answers.cc
+++ b/src/libcore/group/keeper_answers.cc
@@ -54,7 +54,7 @@
   }
   LogPosition needed = pending->read.seen;
   if (const auto* primary = health_.status(leadership_.primary())) {
-    needed = session::CutBack(needed, primary->term_starts);
+    needed = session::LimitToExisting(needed, primary->term_starts);
   }
   // The database may have lost entries, to a newer primary, between its status
   // and the read. The answer itself tells what the read has seen.
--- a/src/libcore/group/reads.cc
+++ b/src/libcore/group/reads.cc
@@ -85,7 +85,7 @@
   needs.deadline = deadline;
   needs.seen = read.seen;
   if (const DatabaseStatus* primary = view.health.status(view.primary)) {
-    needs.seen = session::CutBack(read.seen, primary->term_starts);
+    needs.seen = session::LimitToExisting(read.seen, primary->term_starts);
   }
   const LogPosition wanted =
       std::max(needs.seen, read.floor.value_or(LogPosition{}));
--- a/src/libcore/limits/granted_limiter.cc
+++ b/src/libcore/limits/granted_limiter.cc
@@ -170,7 +170,7 @@
   const bool news = suspected_.count(line.asked) == 0;
   suspected_[line.asked] = now + kProbePace;
   if (!news) return;
-  Event(events_, EventWeight::kState, "limit_owner_suspected")
+  Event(events_, EventPriority::kState, "limit_owner_suspected")
       .Add("owner", line.asked.instance)
       .Add("workspace", line.workspace->name)
       .Add("waiting", line.waiting.size())
@@ -179,7 +179,7 @@
 
 void GrantedLimiter::Unsuspect(const Granter& owner) {
   if (suspected_.erase(owner) == 0) return;
-  Event(events_, EventWeight::kState, "limit_owner_heard")
+  Event(events_, EventPriority::kState, "limit_owner_heard")
       .Add("owner", owner.instance);
 }
 
@@ -223,7 +223,7 @@
 void GrantedLimiter::TellOverLimit(TimePoint now, Line* line) {
   if (now - line->told_over_limit < kTellPace) return;
   line->told_over_limit = now;
-  Event(events_, EventWeight::kState, "workspace_over_limit")
+  Event(events_, EventPriority::kState, "workspace_over_limit")
       .Add("workspace", line->workspace->name)
       .Add("rate", static_cast<uint64_t>(line->workspace->limit->rate))
       .Add("burst", static_cast<uint64_t>(line->workspace->limit->burst))
--- a/src/libcore/mirror/mirror.cc
+++ b/src/libcore/mirror/mirror.cc
@@ -70,7 +70,7 @@
 void Mirror::SourceServed() {
   relay_not_before_.erase(relay_);
   if (relay_ == told_relay_) return;
-  Event(events_, EventWeight::kState, "source_changed")
+  Event(events_, EventPriority::kState, "source_changed")
       .Add("to", relay_.empty() ? "store" : relay_)
       .Add("from", told_relay_.empty() ? "store" : told_relay_)
       .Add("as_of", as_of());
@@ -219,7 +219,7 @@
 void Mirror::Compare(const Reading& reading) {
   if (!reading.digest.has_value() || reading.digest == log_.digest()) return;
   ask_all_ = !reading.whole;
-  Event(events_, EventWeight::kState, "copy_differs")
+  Event(events_, EventPriority::kState, "copy_differs")
       .Add("relay", relay_)
       .Add("as_of", as_of())
       .Add("whole", reading.whole ? "yes" : "no");
@@ -252,7 +252,7 @@
 /// it was sent shows here, and by how much the copy has aged meanwhile.
 void Mirror::TellStoreFailed(TimePoint now, Call call, ReadError error) {
   const bool first = failing_since_ == TimePoint();
-  Event line(events_, EventWeight::kState,
+  Event line(events_, EventPriority::kState,
              first ? "store_lost" : "store_call_failed");
   line.Add("error", ReadErrorName(error))
       .Add("call", call == Call::kList ? "list" : "watch")
@@ -269,7 +269,7 @@
   if (error == ReadError::kHistoryGone) {
     store_good_ = true;
     missed_changes_ = true;
-    Event(events_, EventWeight::kState, "history_gone")
+    Event(events_, EventPriority::kState, "history_gone")
         .Add("as_of", as_of())
         .Add("copy_age", now - confirmed_at_);
     return;
@@ -289,7 +289,7 @@
   store_good_ = true;
   failures_ = 0;
   if (failing_since_ == TimePoint()) return;
-  Event line(events_, EventWeight::kState, "store_regained");
+  Event line(events_, EventPriority::kState, "store_regained");
   line.Add("after", now - failing_since_).Add("as_of", as_of());
   if (listed_) line.Add("copy_age", now - confirmed_at_);
   failing_since_ = TimePoint();
@@ -318,7 +318,7 @@
   ask_all_ = false;
   const bool lost = error != ReadError::kNotCurrent;
   if (relay_not_before_.count(relay_) == 0) {
-    Event(events_, EventWeight::kState, "relay_failed")
+    Event(events_, EventPriority::kState, "relay_failed")
         .Add("relay", relay_)
         .Add("error", ReadErrorName(error))
         .Add("as_of", as_of());
--- a/src/libcore/routing/router.cc
+++ b/src/libcore/routing/router.cc
@@ -76,7 +76,7 @@
 Route ChooseReadRoute(TimePoint now, const ReadRequirements& needs,
                       const std::vector<Candidate>& candidates) {
   const LogPosition seen =
-      session::CutBack(needs.seen, *NewestTermStarts(candidates));
+      session::LimitToExisting(needs.seen, *NewestTermStarts(candidates));
   const Candidate* best = nullptr;
   bool busy = false;
   for (const Candidate& candidate : candidates) {
--- a/src/libcore/session/adopted_sessions.cc
+++ b/src/libcore/session/adopted_sessions.cc
@@ -2,24 +2,25 @@
 
 namespace ryefold::core::session {
 
-AdoptedSessions::Entry AdoptedSessions::Enter(const std::string& session,
-                                              bool in_transaction) {
-  Entry entry;
-  const auto known = by_session_.find(session);
-  if (known != by_session_.end() && !in_transaction) {
-    entry.abandoned = known->second;
-    Erase(entry.abandoned);
-  } else if (known != by_session_.end()) {
-    entry.caller = known->second;
+AdoptedSessions::AdoptedStatement AdoptedSessions::Register(
+    const std::string& session, bool in_transaction) {
+  AdoptedStatement adopted;
+  const auto existing = by_session_.find(session);
+  if (existing != by_session_.end() && !in_transaction) {
+    adopted.superseded_caller = existing->second;
+    Erase(adopted.superseded_caller);
+  } else if (existing != by_session_.end()) {
+    adopted.caller = existing->second;
   }
-  if (entry.caller == 0) entry.caller = ++last_caller_;
-  entry.statement = ++last_statement_;
-  by_session_[session] = entry.caller;
-  by_caller_[entry.caller] = {session, entry.statement};
-  return entry;
+  if (adopted.caller == 0) adopted.caller = ++last_caller_;
+  adopted.statement = ++last_statement_;
+  by_session_[session] = adopted.caller;
+  by_caller_[adopted.caller] = {session, adopted.statement};
+  return adopted;
 }
 
-bool AdoptedSessions::Current(CallerId caller, uint64_t statement) const {
+bool AdoptedSessions::IsNewestStatement(CallerId caller,
+                                        uint64_t statement) const {
   const auto found = by_caller_.find(caller);
   return found != by_caller_.end() && found->second.statement == statement;
 }
--- a/src/libcore/session/confirmation.cc
+++ b/src/libcore/session/confirmation.cc
@@ -4,14 +4,15 @@
 
 namespace ryefold::core::session {
 
-bool ConfirmedByPrimary::Holds(
+bool ConfirmedByPrimary::IsSatisfied(
     const LogPosition& /*position*/,
     const std::vector<LogPosition>& /*received*/) const {
   return true;
 }
 
-bool ConfirmedByReplica::Holds(const LogPosition& position,
-                               const std::vector<LogPosition>& received) const {
+bool ConfirmedByReplica::IsSatisfied(
+    const LogPosition& position,
+    const std::vector<LogPosition>& received) const {
   return std::any_of(
       received.begin(), received.end(), [&position](const LogPosition& each) {
         return each.term == position.term && each.index >= position.index;
--- a/src/libcore/session/database_pool.cc
+++ b/src/libcore/session/database_pool.cc
@@ -14,15 +14,15 @@
 
 }  // namespace
 
-void DatabasePool::Opening(TimePoint now, ConnectionId connection,
-                           const std::string& workspace) {
+void DatabasePool::AddOpening(TimePoint now, ConnectionId connection,
+                              const std::string& workspace) {
   Member& member = members_[connection];
   member.workspace = workspace;
   member.opening_since = now;
   ++opening_;
 }
 
-void DatabasePool::Opened(ConnectionId connection) {
+void DatabasePool::MarkOpen(ConnectionId connection) {
   Member& member = members_.at(connection);
   if (member.open) return;
   member.open = true;
--- a/src/libcore/session/forwarding.cc
+++ b/src/libcore/session/forwarding.cc
@@ -59,21 +59,21 @@
                     by_workspace ? kMaxKeepersByWorkspace : kMaxKeepers);
 }
 
-uint32_t ConnectionsOfKeeper(uint32_t connection_limit, size_t keepers,
-                             bool by_workspace) {
+uint32_t ConnectionsPerKeeper(uint32_t connection_limit, size_t keepers,
+                              bool by_workspace) {
   const size_t share = ConnectionsForKeepers(connection_limit, by_workspace) /
                        std::max<size_t>(keepers, 1);
   return static_cast<uint32_t>(std::max(share, kDirectConnections));
 }
 
-uint32_t WindowOf(uint32_t slots, size_t holders) {
+uint32_t InFlightLimit(uint32_t slots, size_t holders) {
   const size_t total = size_t{slots} * kInFlightPerSlot;
   const size_t share = (total + holders - 1) / std::max<size_t>(holders, 1);
   return static_cast<uint32_t>(std::max<size_t>(share, 1));
 }
 
-size_t RankAmong(std::string_view key, const std::string& instance,
-                 const std::vector<KeeperCandidate>& candidates) {
+size_t RendezvousRank(std::string_view key, const std::string& instance,
+                      const std::vector<KeeperCandidate>& candidates) {
   const uint64_t own_hash = RendezvousHash(key, instance);
   return static_cast<size_t>(
       std::count_if(candidates.begin(), candidates.end(),
--- a/src/libcore/session/isolation.cc
+++ b/src/libcore/session/isolation.cc
@@ -20,30 +20,31 @@
 
 }  // namespace
 
-void Isolation::SetOthers(std::vector<std::string> peers) {
+void IsolationDetector::SetPeers(std::vector<std::string> peers) {
   peers_ = std::move(peers);
   next_peer_ = 0;
 }
 
-bool Isolation::Heard(TimePoint now) {
-  heard_at_ = now;
+bool IsolationDetector::RecordResponse(TimePoint now) {
+  last_contact_ = now;
   timed_out_.clear();
   pending_probes_.clear();
   return std::exchange(cut_off_, false);
 }
 
-bool Isolation::Silent(const std::string& instance, TimePoint asked) {
+bool IsolationDetector::RecordTimeout(const std::string& instance,
+                                      TimePoint asked) {
   // Responses arrive early and timeouts late. Without this check, an instance
   // in the minority partition would count the timeouts of earlier probes
   // although another peer has responded since.
-  if (asked <= heard_at_) return false;
+  if (asked <= last_contact_) return false;
   timed_out_.insert(instance);
   const bool last_pending =
       pending_probes_.erase(instance) > 0 && pending_probes_.empty();
   return last_pending && !std::exchange(cut_off_, true);
 }
 
-std::vector<std::string> Isolation::ProbesDue(TimePoint now) {
+std::vector<std::string> IsolationDetector::TakeDueProbes(TimePoint now) {
   std::vector<std::string> probes;
   const size_t threshold = std::min(kProbeThreshold, peers_.size());
   if (threshold == 0 || timed_out_.size() < threshold) return probes;
--- a/src/libcore/session/leadership_proof.cc
+++ b/src/libcore/session/leadership_proof.cc
@@ -19,8 +19,8 @@
   return std::max<size_t>(needed, 1);
 }
 
-bool LeadershipProof::Claimed(const std::string& leader, uint64_t term,
-                              TimePoint sent, const LogPosition& position) {
+bool LeadershipProof::RecordClaim(const std::string& leader, uint64_t term,
+                                  TimePoint sent, const LogPosition& position) {
   if (term < term_) return false;
   if (term > term_) claims_.clear();
   term_ = term;
@@ -30,14 +30,14 @@
   return true;
 }
 
-void LeadershipProof::Told(const std::string& database, TimePoint asked,
-                           uint64_t term) {
+void LeadershipProof::RecordWitness(const std::string& database,
+                                    TimePoint asked, uint64_t term) {
   WitnessReport& report = reports_[database];
   if (asked < report.asked) return;
   report = {asked, term};
 }
 
-void LeadershipProof::Forget(const std::string& database) {
+void LeadershipProof::DiscardEvidence(const std::string& database) {
   reports_.erase(database);
   if (database != leader_) return;
   leader_.clear();
--- a/src/libcore/session/placement.cc
+++ b/src/libcore/session/placement.cc
@@ -32,21 +32,21 @@
 
 }  // namespace
 
-void LagEstimate::Observed(milliseconds lag) {
+void LagEstimate::RecordLag(milliseconds lag) {
   bound_ = std::clamp(lag + kMinLag, kMinLag, kMaxLag);
 }
 
-void LagEstimate::Refused(TimePoint now, milliseconds age) {
+void LagEstimate::RecordRejection(TimePoint now, milliseconds age) {
   bound_ = std::min(std::max(bound_, age + kMinLag), kMaxLag);
   backoff_until_ = now + kRejectionBackoff;
   next_trial_ = now + kTrialInterval;
 }
 
-void LagEstimate::Served(milliseconds age) {
+void LagEstimate::RecordServed(milliseconds age) {
   bound_ = std::max(kMinLag, std::min(age, bound_));
 }
 
-bool LagEstimate::Expects(TimePoint now, milliseconds age) const {
+bool LagEstimate::ShouldTry(TimePoint now, milliseconds age) const {
   if (now < backoff_until_) return false;
   return age >= bound_ || now >= next_trial_;
 }
@@ -64,7 +64,7 @@
   };
   std::stable_sort(candidates.begin(), candidates.end(),
                    [&cost](const ReadCandidate& a, const ReadCandidate& b) {
-                     if (a.suspect != b.suspect) return b.suspect;
+                     if (a.suspected != b.suspected) return b.suspected;
                      if (a.expected_to_hold != b.expected_to_hold) {
                        return a.expected_to_hold;
                      }
--- a/src/libcore/session/proxy_callers.cc
+++ b/src/libcore/session/proxy_callers.cc
@@ -37,7 +37,7 @@
   }
   const std::shared_ptr<const Route> found = RouteOf(route);
   if (found == nullptr) {
-    Event(events_, EventWeight::kRequest, "caller_refused")
+    Event(events_, EventPriority::kRequest, "caller_refused")
         .Add("caller", id)
         .Add("database", route)
         .Add("reason", "no_route")
@@ -293,7 +293,7 @@
     }
     if (caller->state == TransactionState::kOpen) {
       caller->transaction.idle_until =
-          now + table_.transaction_idle + kIdleSlack;
+          now + table_.transaction_idle_timeout + kIdleSlack;
     }
   }
   const auto took = std::chrono::duration_cast<std::chrono::microseconds>(
@@ -302,7 +302,7 @@
   if (observer_ != nullptr) {
     observer_->OnAnswer(*request->route, reply.error, took);
   }
-  Event(events_, EventWeight::kRequest, "answered")
+  Event(events_, EventPriority::kRequest, "answered")
       .Add("request", request->statement_id)
       .Add("caller", request->caller)
       .Add("route", request->route->name)
@@ -329,7 +329,7 @@
   const Group* group = GroupOf(*request);
   const DatabaseState* primary =
       group == nullptr ? nullptr : FindDatabase(group->primary);
-  Event(events_, EventWeight::kRequest, "refused")
+  Event(events_, EventPriority::kRequest, "refused")
       .Add("request", request->statement_id)
       .Add("primary", primary == nullptr ? "unknown" : primary->info.id)
       .Add("connections", primary == nullptr ? 0 : primary->pool.size())
@@ -391,7 +391,7 @@
   if (caller == nullptr) return;
   Request* request = FindRequest(caller->request);
   if (request != nullptr) {
-    Event(events_, EventWeight::kRequest, "caller_left")
+    Event(events_, EventPriority::kRequest, "caller_left")
         .Add("request", request->statement_id)
         .Add("caller", id)
         .Add("database", request->database);
@@ -410,7 +410,7 @@
       continue;
     }
     if (now < caller.transaction.idle_until) continue;
-    Event(events_, EventWeight::kRequest, "transaction_ended")
+    Event(events_, EventPriority::kRequest, "transaction_ended")
         .Add("caller", id)
         .Add("reason", "idle");
     FailTransaction(now, &caller);
--- a/src/libcore/session/proxy_confirming.cc
+++ b/src/libcore/session/proxy_confirming.cc
@@ -69,7 +69,7 @@
     const DatabaseState& database = databases_.at(id);
     received.push_back(std::max(database.status.received, database.known));
   }
-  return settings_.confirmation->Holds(position, received);
+  return settings_.confirmation->IsSatisfied(position, received);
 }
 
 /// The primary has acknowledged the commit of `request`.
@@ -209,7 +209,7 @@
   const bool over = group->term > group->held_at.term ||
                     IsConfirmed(now, *group, group->held_at, group->held_by);
   if (!over) return;
-  Event(events_, EventWeight::kState, "writes_let_in")
+  Event(events_, EventPriority::kState, "writes_let_in")
       .Add("group", group->name)
       .Add("position", group->held_at.index)
       .Add("term", group->term)
@@ -236,7 +236,7 @@
       group->held_at = *oldest->unconfirmed->position;
       group->held_by = oldest->database;
       group->held_since = now;
-      Event(events_, EventWeight::kState, "writes_held")
+      Event(events_, EventPriority::kState, "writes_held")
           .Add("group", group->name)
           .Add("primary", group->held_by)
           .Add("position", group->held_at.index)
--- a/src/libcore/session/proxy_directory.cc
+++ b/src/libcore/session/proxy_directory.cc
@@ -45,7 +45,7 @@
 
 void Proxy::Impl::OnRoutes(TimePoint now, const RouteTable& routes) {
   if (have_routes_ && routes.version <= table_.version) return;
-  Event(events_, EventWeight::kState, "config_in_force")
+  Event(events_, EventPriority::kState, "config_in_force")
       .Add("version", routes.version)
       .Add("previous", table_.version)
       .Add("routes", routes.routes.size());
@@ -84,7 +84,7 @@
     DatabaseState& database = databases_[id];
     const bool known = !database.info.id.empty();
     if (known && database.info == info && !database.unlisted) continue;
-    Event(events_, EventWeight::kState,
+    Event(events_, EventPriority::kState,
           known ? "database_changed" : "database_added")
         .Add("database", id)
         .Add("group", info.group)
@@ -92,7 +92,9 @@
         .Add("draining", info.draining ? "yes" : "no")
         .Add("claims_primary", info.claims_primary ? "yes" : "no")
         .Add("was_unlisted", database.unlisted ? "yes" : "no");
-    if (known && info.born != database.info.born) StartedAnew(now, &database);
+    if (known && info.started_at != database.info.started_at) {
+      StartedAnew(now, &database);
+    }
     if (info.draining && !database.info.draining) database.draining_since = now;
     if (!info.claims_primary) database.claims_since = TimePoint();
     if (info.claims_primary && database.claims_since == TimePoint()) {
@@ -107,7 +109,7 @@
   }
   for (auto& [id, database] : databases_) {
     if (roster.count(id) > 0 || database.unlisted) continue;
-    Event(events_, EventWeight::kState, "database_unlisted")
+    Event(events_, EventPriority::kState, "database_unlisted")
         .Add("database", id)
         .Add("group", database.info.group);
     database.unlisted = true;
@@ -124,7 +126,7 @@
 /// it the most advanced: callers would lose what they were told is saved. Nor
 /// may its former lead or what it said of terms prove anything.
 void Proxy::Impl::StartedAnew(TimePoint now, DatabaseState* database) {
-  Event(events_, EventWeight::kState, "database_started_anew")
+  Event(events_, EventPriority::kState, "database_started_anew")
       .Add("database", database->info.id)
       .Add("group", database->info.group)
       .Add("had_received", database->status.received.index)
@@ -137,7 +139,7 @@
   database->status_not_before = now;
   database->lag = LagEstimate();
   Group* group = EnsureGroup(database->info.group);
-  group->proof.Forget(database->info.id);
+  group->proof.DiscardEvidence(database->info.id);
   if (group->primary == database->info.id) {
     Deposed(now, group, database->info.id, "started anew");
   }
--- a/src/libcore/session/proxy_forwarding.cc
+++ b/src/libcore/session/proxy_forwarding.cc
@@ -184,13 +184,13 @@
   const bool bound = forwarded.in_transaction;
   const bool once = request->writes || bound;
   const TimePoint last = request->timeout_at + kAnswerReserve;
-  ForwardTerms terms;
+  ForwardTimeouts terms;
   // What may be sent again is sent elsewhere once its goal is missed.
   terms.deadline = once || now >= request->goal_at ? last : request->goal_at;
-  terms.alive_by = now + (bound ? kBoundAliveTime : kAliveTime);
+  terms.send_by = now + (bound ? kBoundAliveTime : kAliveTime);
   const bool commit = request->statement.kind == StatementKind::kCommit;
   const bool takes_effect = commit || (request->writes && !bound);
-  terms.lost_in_silence = !takes_effect;
+  terms.fail_if_unreachable = !takes_effect;
   SetTimer(request, last + kAnswerReserve);
   forwarder_->Forward(request->id, keeper, forwarded, terms);
 }
@@ -214,7 +214,7 @@
   if (news) {
     const Group* group = GroupOf(*request);
     if (group != nullptr) ProbeKeepers(now, *group);
-    Event(events_, EventWeight::kState, "keeper_lost")
+    Event(events_, EventPriority::kState, "keeper_lost")
         .Add("keeper", keeper)
         .Add("request", request->statement_id)
         .Add("sent", outcome == ForwardOutcome::kLost ? "yes" : "no");
@@ -318,7 +318,7 @@
   caller->variables = std::move(forwarded.variables);
   caller->prepared.clear();
   for (const auto& [name, prepared] : forwarded.prepared) {
-    caller->prepared[name] = Intern(prepared.writes, prepared.shape);
+    caller->prepared[name] = Intern(prepared.writes, prepared.text);
   }
   CallerStatement(now, id, forwarded.statement_id,
                   std::move(forwarded.statement));
--- a/src/libcore/session/proxy_identity.cc
+++ b/src/libcore/session/proxy_identity.cc
@@ -21,7 +21,7 @@
         identity.workspace == nullptr ? "" : identity.workspace->name;
     return true;
   }
-  Event(events_, EventWeight::kRequest, "caller_refused")
+  Event(events_, EventPriority::kRequest, "caller_refused")
       .Add("caller", caller->id)
       .Add("database", caller->route)
       .Add("reason", "unknown_key")
@@ -53,7 +53,7 @@
     caller.revoked = true;
     revoked_.insert(id);
     const Request* request = FindRequest(caller.request);
-    Event(events_, EventWeight::kRequest, "session_revoked")
+    Event(events_, EventPriority::kRequest, "session_revoked")
         .Add("caller", id)
         .Add("workspace", caller.workspace)
         .Add("key_fingerprint", workspace::Fingerprint(caller.key))
@@ -158,7 +158,7 @@
                             Request* request) {
   Caller& caller = callers_.at(request->caller);
   if (connection->workspace == caller.workspace) return true;
-  Event(events_, EventWeight::kState, "foreign_connection")
+  Event(events_, EventPriority::kState, "foreign_connection")
       .Add("request", request->statement_id)
       .Add("workspace", caller.workspace)
       .Add("connection_of", connection->workspace);
--- a/src/libcore/session/proxy_impl.h
+++ b/src/libcore/session/proxy_impl.h
@@ -312,7 +312,7 @@
   /// When they were told first.
   TimePoint instances_since_;
   std::vector<KeeperCandidate> instances_;
-  Isolation isolation_;
+  IsolationDetector isolation_;
   /// Instances asked for a sign of life, and since when.
   std::map<std::string, TimePoint> probes_;
   std::unordered_map<RequestId, Request> requests_;
--- a/src/libcore/session/proxy_instances.cc
+++ b/src/libcore/session/proxy_instances.cc
@@ -41,7 +41,7 @@
   }
   // Names sort by failure domain, which can fail as a whole.
   std::shuffle(others.begin(), others.end(), std::mt19937_64(settings_.seed));
-  isolation_.SetOthers(std::move(others));
+  isolation_.SetPeers(std::move(others));
   ChooseAllKeepers(now);
   PumpAll(now);
 }
@@ -57,19 +57,19 @@
 }
 
 void Proxy::Impl::InstanceHeard(TimePoint now) {
-  const TimePoint before = isolation_.heard_at();
-  if (!isolation_.Heard(now)) return;
-  Event(events_, EventWeight::kState, "in_touch").Add("after", now - before);
+  const TimePoint before = isolation_.last_contact();
+  if (!isolation_.RecordResponse(now)) return;
+  Event(events_, EventPriority::kState, "in_touch").Add("after", now - before);
 }
 
 void Proxy::Impl::InstanceSilent(TimePoint now, const std::string& instance,
                                  TimePoint asked) {
   others_[instance].silent_until = now + kSuspicion;
-  if (!isolation_.Silent(instance, asked)) return;
-  Event(events_, EventWeight::kState, "cut_off")
-      .Add("silent", isolation_.silent())
+  if (!isolation_.RecordTimeout(instance, asked)) return;
+  Event(events_, EventPriority::kState, "cut_off")
+      .Add("silent", isolation_.timed_out_count())
       .Add("instances", instances_.size())
-      .Add("last_heard", now - isolation_.heard_at());
+      .Add("last_heard", now - isolation_.last_contact());
 }
 
 bool Proxy::Impl::KeptSilent(TimePoint now, const std::string& instance) const {
@@ -105,7 +105,7 @@
 
 void Proxy::Impl::MaintainTouch(TimePoint now) {
   if (forwarder_ == nullptr) return;
-  for (const std::string& instance : isolation_.ProbesDue(now)) {
+  for (const std::string& instance : isolation_.TakeDueProbes(now)) {
     ProbeInstance(now, instance);
   }
 }
@@ -128,7 +128,7 @@
         [this](const KeeperCandidate& each) { return each.instance == self_; });
     const bool kept = count == 0 || among;
     if (kept != group->kept) {
-      Event(events_, EventWeight::kState, kept ? "group_kept" : "group_left")
+      Event(events_, EventPriority::kState, kept ? "group_kept" : "group_left")
           .Add("group", name)
           .Add("keepers", keepers.size())
           .Add("instances", instances_.size());
@@ -172,7 +172,7 @@
     if (!workspace.empty()) {
       const auto& neighbours =
           group.keepers_of_domain.at(keeper.failure_domain);
-      cost += kNextInOrder * static_cast<uint32_t>(RankAmong(
+      cost += kNextInOrder * static_cast<uint32_t>(RendezvousRank(
                                  workspace, keeper.instance, neighbours));
     }
     if (best != nullptr && cost >= best_cost) continue;
--- a/src/libcore/session/proxy_leadership.cc
+++ b/src/libcore/session/proxy_leadership.cc
@@ -53,7 +53,7 @@
     return false;
   }
   if (group->primary != database) {
-    Event(events_, EventWeight::kState, "primary_known")
+    Event(events_, EventPriority::kState, "primary_known")
         .Add("group", group->name)
         .Add("database", database)
         .Add("term", term)
@@ -68,7 +68,7 @@
   group->proved_at = std::max(group->proved_at, sent);
   group->deposed.erase(database);
   if (group->expected_primary == database) group->expected_primary.clear();
-  group->proof.Claimed(database, term, sent, position);
+  group->proof.RecordClaim(database, term, sent, position);
   SettleProofs(now, group);
   return true;
 }
@@ -77,7 +77,7 @@
                           const std::string& database, const std::string& why) {
   group->deposed.insert(database);
   if (group->primary != database) return;
-  Event(events_, EventWeight::kState, "primary_lost")
+  Event(events_, EventPriority::kState, "primary_lost")
       .Add("group", group->name)
       .Add("database", database)
       .Add("term", group->term)
@@ -138,7 +138,7 @@
   if (!group->primary.empty() && group->proved_at >= claimant->claims_since) {
     return;
   }
-  Event(events_, EventWeight::kState, "primary_known")
+  Event(events_, EventPriority::kState, "primary_known")
       .Add("group", group->name)
       .Add("database", id)
       .Add("term", group->term)
@@ -156,11 +156,11 @@
   database->status = report;
   database->status_from = asked;
   const std::string& id = database->info.id;
-  group->proof.Told(id, asked, report.term);
+  group->proof.RecordWitness(id, asked, report.term);
   if (!report.primary) {
     NoteTerm(now, group, id, report.term);
   } else if (report.term >= group->term) {
-    group->proof.Claimed(id, report.term, asked, report.received);
+    group->proof.RecordClaim(id, report.term, asked, report.received);
   }
   SettleCommits(now, group);
   SettleProofs(now, group);
@@ -176,7 +176,7 @@
   if (report.term < group->term || group->primary == id) return;
   const bool newer = report.term > group->term;
   if (!newer && !group->primary.empty()) return;
-  Event(events_, EventWeight::kState, "primary_known")
+  Event(events_, EventPriority::kState, "primary_known")
       .Add("group", group->name)
       .Add("database", id)
       .Add("term", report.term)
--- a/src/libcore/session/proxy_placing.cc
+++ b/src/libcore/session/proxy_placing.cc
@@ -242,11 +242,11 @@
     const Request& request, const Group& group) const {
   const Route& route = *request.route;
   std::optional<Watermarks::Mark> mark =
-      group.watermarks.Covering(request.arrived - route.max_staleness);
+      group.watermarks.OldestSince(request.arrived - route.max_staleness);
   if (!mark.has_value()) return std::nullopt;
   if (route.freshness != Freshness::kSession) return mark;
   const Caller& caller = callers_.at(request.caller);
-  const LogPosition own = group.watermarks.Current(caller.committed);
+  const LogPosition own = group.watermarks.RequiredPosition(caller.committed);
   if (own > mark->position) {
     mark->position = own;
     mark->at = std::max(mark->at, caller.committed_at);
@@ -280,8 +280,8 @@
     candidate.same_domain =
         database.info.failure_domain == settings_.failure_domain;
     candidate.expected_to_hold = primary || database.known >= mark.position ||
-                                 database.lag.Expects(now, age);
-    candidate.suspect = Suspect(now, database);
+                                 database.lag.ShouldTry(now, age);
+    candidate.suspected = Suspect(now, database);
     candidate.in_flight = database.in_flight;
     candidate.latency = database.latency.mean();
     if (!candidate.expected_to_hold && !group.primary.empty()) continue;
@@ -486,7 +486,7 @@
     SetTimer(request, std::min(request->timeout_at, now + kHedgeRetry));
     return;
   }
-  Event(events_, EventWeight::kRequest, "read_hedged")
+  Event(events_, EventPriority::kRequest, "read_hedged")
       .Add("request", request->statement_id)
       .Add("silent", first)
       .Add("also", request->database)
--- a/src/libcore/session/proxy_pool.cc
+++ b/src/libcore/session/proxy_pool.cc
@@ -85,7 +85,7 @@
   const size_t keepers =
       group == groups_.end() ? 0 : group->second->keepers.size();
   const size_t holders = keepers > 0 ? keepers : instances_.size();
-  return WindowOf(database.info.slots, holders);
+  return InFlightLimit(database.info.slots, holders);
 }
 
 bool Proxy::Impl::TakesWork(TimePoint now,
@@ -107,7 +107,7 @@
   const size_t keepers = group->second->keepers.size();
   const bool by_workspace = workspaces_.keys_required();
   if (keepers > 0) {
-    const uint32_t share = ConnectionsOfKeeper(limit, keepers, by_workspace);
+    const uint32_t share = ConnectionsPerKeeper(limit, keepers, by_workspace);
     const bool young = now - instances_since_ < kLingerTime;
     if (!by_workspace || !young) return share;
     return std::max(kLeastConnections, share / 2);
@@ -144,7 +144,7 @@
   connection.open_until = now + kOpenTime;
   const ConnectionId id = connection.id;
   connections_.emplace(id, std::move(connection));
-  database->pool.Opening(now, id, workspace);
+  database->pool.AddOpening(now, id, workspace);
   ++database->unanswered;
   Sent(now, database);
   ++counters_.connections_opened;
@@ -199,10 +199,10 @@
   if (connection == nullptr) return;
   DatabaseState* database = FindDatabase(connection->database);
   connection->open = true;
-  database->pool.Opened(id);
+  database->pool.MarkOpen(id);
   --database->unanswered;
   if (database->refusals > 0) {
-    Event(events_, EventWeight::kState, "database_reachable")
+    Event(events_, EventPriority::kState, "database_reachable")
         .Add("database", database->info.id)
         .Add("refusals", database->refusals);
   }
@@ -224,7 +224,7 @@
   }
   ++database->refusals;
   if (database->refusals == 1) {
-    Event(events_, EventWeight::kState, "database_refuses")
+    Event(events_, EventPriority::kState, "database_refuses")
         .Add("database", database->info.id)
         .Add("error", ErrorName(error))
         .Add("last_heard", now - database->last_heard);
@@ -357,7 +357,7 @@
       continue;
     }
     const std::string id = it->first;
-    Event(events_, EventWeight::kState, "database_gone").Add("database", id);
+    Event(events_, EventPriority::kState, "database_gone").Add("database", id);
     std::vector<ConnectionId> open;
     for (const auto& [connection, state] : connections_) {
       if (state.database == id) open.push_back(connection);
--- a/src/libcore/session/proxy_proving.cc
+++ b/src/libcore/session/proxy_proving.cc
@@ -25,8 +25,8 @@
 size_t Proxy::Impl::Witnesses(const Group& group, size_t others) const {
   // Databases that confirm commits themselves acknowledge none without a copy.
   const size_t least = group.limits.confirms_commits ? 2 : 1;
-  return WitnessesNeeded(others + 1,
-                         std::max(settings_.confirmation->copies(), least));
+  return WitnessesNeeded(
+      others + 1, std::max(settings_.confirmation->required_copies(), least));
 }
 
 /// Up to which moment the group's primary is proved to have led.
@@ -79,7 +79,7 @@
 void Proxy::Impl::SettleProofs(TimePoint now, Group* group) {
   const TimePoint until = ProvedUntil(*group);
   for (const Watermarks::Mark& mark : group->proof.TakeClaims(until)) {
-    group->watermarks.NewTerm(group->proof.term());
+    group->watermarks.StartTerm(group->proof.term());
     group->watermarks.Record(mark.at, mark.position);
   }
   const std::vector<RequestId> waiting = group->unproved;
--- a/src/libcore/session/proxy_replies.cc
+++ b/src/libcore/session/proxy_replies.cc
@@ -26,7 +26,7 @@
   if (connection == nullptr) return;
   DatabaseState* database = FindDatabase(connection->database);
   if (connection->expected.empty()) {
-    Event(events_, EventWeight::kState, "unasked_answer")
+    Event(events_, EventPriority::kState, "unasked_answer")
         .Add("database", connection->database);
     ConnectionLost(now, id);
     port_->CloseConnection(id);
@@ -39,8 +39,8 @@
   if (reply.position.has_value()) {
     database->known = std::max(database->known, *reply.position);
     const auto behind = EnsureGroup(database->info.group)
-                            ->watermarks.Behind(now, *reply.position);
-    if (behind.has_value()) database->lag.Observed(*behind);
+                            ->watermarks.LagBound(now, *reply.position);
+    if (behind.has_value()) database->lag.RecordLag(*behind);
     Group* group = EnsureGroup(database->info.group);
     NoteTerm(now, group, database->info.id, reply.position->term);
     if (!group->unconfirmed.empty()) SettleCommits(now, group);
@@ -156,7 +156,7 @@
       database->busy_until = now + kAfterBusy;
       break;
     case ErrorCode::kLagging:
-      database->lag.Refused(now, expected.since_age);
+      database->lag.RecordRejection(now, expected.since_age);
       break;
     case ErrorCode::kReadOnly:
       Deposed(now, group, database->info.id, "refuses to lead");
@@ -178,7 +178,7 @@
     database->latency.Add(std::chrono::duration_cast<std::chrono::microseconds>(
         now - expected.sent));
     if (expected.since_age > milliseconds(0)) {
-      database->lag.Served(expected.since_age);
+      database->lag.RecordServed(expected.since_age);
     }
   }
   Request* request = FindRequest(expected.request);
@@ -302,7 +302,7 @@
   }
   const std::deque<Expected> expected = connection->expected;
   const CallerId pinned = connection->pinned;
-  Event(events_, EventWeight::kState, "connection_lost")
+  Event(events_, EventPriority::kState, "connection_lost")
       .Add("database", connection->database)
       .Add("unanswered", expected.size())
       .Add("in_transaction", pinned);
--- a/src/libcore/session/token.cc
+++ b/src/libcore/session/token.cc
@@ -179,14 +179,14 @@
   token->seen.emplace(group, position);
 }
 
-Need NeedOf(const Token& token, const std::string& group) {
+ReadRequirement RequirementOf(const Token& token, const std::string& group) {
   const auto found = token.seen.find(group);
-  if (found != token.seen.end()) return Need{found->second, false};
-  return Need{LogPosition(), token.overflow};
+  if (found != token.seen.end()) return ReadRequirement{found->second, false};
+  return ReadRequirement{LogPosition(), token.overflow};
 }
 
-LogPosition CutBack(const LogPosition& position,
-                    const std::vector<TermStart>& starts) {
+LogPosition LimitToExisting(const LogPosition& position,
+                            const std::vector<TermStart>& starts) {
   uint64_t index = position.index;
   bool newer = false;
   for (const TermStart& start : starts) {
--- a/src/libcore/session/watermarks.cc
+++ b/src/libcore/session/watermarks.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void Watermarks::NewTerm(uint64_t term) {
+void Watermarks::StartTerm(uint64_t term) {
   if (term <= term_) return;
   term_ = term;
   marks_.clear();
@@ -43,7 +43,7 @@
   while (marks_.front().at < sent - kMaxHistory) marks_.pop_front();
 }
 
-std::optional<Watermarks::Mark> Watermarks::Covering(
+std::optional<Watermarks::Mark> Watermarks::OldestSince(
     TimePoint not_before) const {
   const auto found = std::lower_bound(
       marks_.begin(), marks_.end(), not_before,
@@ -52,7 +52,7 @@
   return *found;
 }
 
-std::optional<milliseconds> Watermarks::Behind(
+std::optional<milliseconds> Watermarks::LagBound(
     TimePoint now, const LogPosition& position) const {
   const auto beyond =
       std::upper_bound(marks_.begin(), marks_.end(), position,
@@ -63,7 +63,7 @@
   return std::chrono::duration_cast<milliseconds>(now - std::prev(beyond)->at);
 }
 
-LogPosition Watermarks::Current(const LogPosition& seen) const {
+LogPosition Watermarks::RequiredPosition(const LogPosition& seen) const {
   if (marks_.empty()) return seen;
   if (seen.term >= std::max(term_, marks_.back().position.term)) return seen;
   return first_of_term_;
--- a/src/libtask/event_log.cc
+++ b/src/libtask/event_log.cc
@@ -45,8 +45,8 @@
   Flush();
 }
 
-bool EventLog::Wants(core::EventWeight weight) {
-  const bool request = weight == core::EventWeight::kRequest;
+bool EventLog::IsEnabled(core::EventPriority weight) {
+  const bool request = weight == core::EventPriority::kRequest;
   const bool full = request ? request_lines_ >= budget_.request_lines
                             : state_lines_ >= budget_.state_lines;
   if (!full && waiting_.size() < kMaxWaiting) return true;
@@ -60,8 +60,8 @@
   waiting_.append(" ").append(line).append("\n");
 }
 
-void EventLog::Write(core::EventWeight weight, std::string_view line) {
-  ++(weight == core::EventWeight::kRequest ? request_lines_ : state_lines_);
+void EventLog::Write(core::EventPriority weight, std::string_view line) {
+  ++(weight == core::EventPriority::kRequest ? request_lines_ : state_lines_);
   Append(line);
 }
 
--- a/src/libwire/http_connection.cc
+++ b/src/libwire/http_connection.cc
@@ -238,8 +238,8 @@
   void ArmTimer() {
     const core::TimePoint now = std::chrono::steady_clock::now();
     core::TimePoint end = limits_.deadline;
-    const bool silence_counts = limits_.silence.count() > 0;
-    if (silence_counts) end = std::min(end, now + limits_.silence);
+    const bool silence_counts = limits_.inactivity_timeout.count() > 0;
+    if (silence_counts) end = std::min(end, now + limits_.inactivity_timeout);
     const timeval wait =
         ToTimeval(std::chrono::ceil<std::chrono::microseconds>(end - now));
     event_add(timer_, &wait);
--- a/src/libwire/peer_codec.cc
+++ b/src/libwire/peer_codec.cc
@@ -217,7 +217,7 @@
     answer = core::StatementAnswer::Done(std::move(map.result), seen);
   } else if (map.outcome == kNotRun) {
     answer = core::StatementAnswer::NotRun(
-        core::NotRunProof::StatedByPeer(), reason,
+        core::NotRunProof::ReportedByPeer(), reason,
         std::chrono::milliseconds(map.retry_after_ms), std::move(map.detail));
   } else if (map.outcome == kUnknown) {
     answer = core::StatementAnswer::Unknown(reason, std::move(map.detail));
--- a/src/libwire/session_codec.cc
+++ b/src/libwire/session_codec.cc
@@ -114,7 +114,7 @@
   map.key_low = statement.key.low;
   map.variables = statement.variables;
   for (const auto& [name, prepared] : statement.prepared) {
-    map.prepared[name] = {prepared.writes, prepared.shape};
+    map.prepared[name] = {prepared.writes, prepared.text};
   }
   map.committed = {statement.committed.term, statement.committed.index};
   map.in_transaction = statement.in_transaction;
--- a/src/ryefoldd/entry_task.cc
+++ b/src/ryefoldd/entry_task.cc
@@ -183,12 +183,12 @@
   if (request.request_id.empty()) {
     request.request_id = id_prefix_ + std::to_string(tag);
   }
-  const core::session::Need need =
-      core::session::NeedOf(caller.token, request.group);
+  const core::session::ReadRequirement need =
+      core::session::RequirementOf(caller.token, request.group);
   request.seen = need.seen;
   // The token had no room for what it saw in this group; only data of age 0
   // is sure to hold it.
-  if (need.current) request.max_age = milliseconds(0);
+  if (need.must_be_current) request.max_age = milliseconds(0);
   waiting_.emplace(tag, Waiting{exchange, request.group, request.workspace,
                                 request.request_id, std::move(caller.token),
                                 workspace->policy.priority, now});
--- a/src/ryefoldd/forwarding_host.cc
+++ b/src/ryefoldd/forwarding_host.cc
@@ -9,7 +9,7 @@
 namespace {
 
 using core::Event;
-using core::EventWeight;
+using core::EventPriority;
 using core::session::CallerId;
 using core::session::ForwardedStatement;
 using core::session::ForwardId;
@@ -42,7 +42,7 @@
 
 void ForwardingHost::Forward(ForwardId call, const std::string& keeper,
                              const ForwardedStatement& statement,
-                             const core::session::ForwardTerms& terms) {
+                             const core::session::ForwardTimeouts& terms) {
   wire::PeerClient* peer = peers_->To(keeper);
   if (peer == nullptr) {
     loop_->Post([this, call] {
@@ -52,8 +52,8 @@
   }
   wire::CallTerms call_terms;
   call_terms.deadline = OnSteadyClock(terms.deadline);
-  call_terms.alive_by = OnSteadyClock(terms.alive_by);
-  call_terms.lost_in_silence = terms.lost_in_silence;
+  call_terms.alive_by = OnSteadyClock(terms.send_by);
+  call_terms.lost_in_silence = terms.fail_if_unreachable;
   Sent& sent = sent_[call];
   sent.keeper = keeper;
   sent.stream = peer->Call(
@@ -122,14 +122,14 @@
   std::optional<ForwardedStatement> statement =
       wire::ReadForwarded(call.body());
   if (!statement.has_value()) {
-    Event(events_, EventWeight::kState, "forwarded_unreadable")
+    Event(events_, EventPriority::kState, "forwarded_unreadable")
         .Add("bytes", call.body().size());
     call.Refuse();
     return;
   }
-  const core::session::AdoptedSessions::Entry entry =
-      adopted_.Enter(statement->session, statement->in_transaction);
-  if (entry.abandoned != 0) GiveUp(entry.abandoned);
+  const core::session::AdoptedSessions::AdoptedStatement entry =
+      adopted_.Register(statement->session, statement->in_transaction);
+  if (entry.superseded_caller != 0) GiveUp(entry.superseded_caller);
   const CallerId caller = entry.caller;
   calls_.insert_or_assign(caller, call);
   call.OnGone([this, caller, number = entry.statement] {
@@ -142,7 +142,10 @@
 /// The instance that waits for the answer is gone or has given up. Nobody else
 /// can go on with the session.
 void ForwardingHost::OnGone(CallerId caller, uint64_t statement) {
-  if (!adopted_.Current(caller, statement) || calls_.count(caller) == 0) return;
+  if (!adopted_.IsNewestStatement(caller, statement) ||
+      calls_.count(caller) == 0) {
+    return;
+  }
   adopted_.Erase(caller);
   GiveUp(caller);
   Turn();
--- a/src/ryefoldd/forwarding_host.h
+++ b/src/ryefoldd/forwarding_host.h
@@ -31,7 +31,7 @@
   void OnTurn(std::function<void()> turn) { turn_ = std::move(turn); }
   void Forward(core::session::ForwardId call, const std::string& keeper,
                const core::session::ForwardedStatement& statement,
-               const core::session::ForwardTerms& terms) override;
+               const core::session::ForwardTimeouts& terms) override;
   void Probe(const std::string& instance, core::TimePoint deadline) override;
   void Cancel(core::session::ForwardId call) override;
   void Release(const std::string& keeper, const std::string& session) override;
--- a/src/ryefoldd/gateway_failover.cc
+++ b/src/ryefoldd/gateway_failover.cc
@@ -60,7 +60,7 @@
 void GatewayFailover::SetInstances(
     const std::vector<core::session::KeeperCandidate>& instances) {
   election_.SetRank(
-      core::session::RankAmong("promotion", instance_, instances));
+      core::session::RendezvousRank("promotion", instance_, instances));
 }
 
 void GatewayFailover::Retire() { election_.Retire(BootTime()); }
--- a/src/ryefoldd/gateway_task.cc
+++ b/src/ryefoldd/gateway_task.cc
@@ -33,7 +33,7 @@
 namespace {
 
 using core::Event;
-using core::EventWeight;
+using core::EventPriority;
 using std::chrono::milliseconds;
 using task::BootTime;
 
@@ -88,14 +88,14 @@
     StartSignals();
     timer_ = event_new(loop->base(), -1, 0, OnTimer, this);
     Rearm();
-    Event(events_.get(), EventWeight::kState, "started")
+    Event(events_.get(), EventPriority::kState, "started")
         .Add("failure_domain", settings_.failure_domain)
         .Add("sessions", settings_.session_address)
         .Add("store", settings_.store_address);
   }
 
   void Stop() {
-    Event(events_.get(), EventWeight::kState, "stopped")
+    Event(events_.get(), EventPriority::kState, "stopped")
         .Add("callers", proxy_->callers());
     if (timer_ != nullptr) event_free(timer_);
     for (event* signal : signals_) event_free(signal);
@@ -259,7 +259,7 @@
   void Listen(const std::function<std::string()>& attempt, int tries) {
     const std::string error = attempt();
     if (error.empty()) return;
-    Event(events_.get(), EventWeight::kState, "listen_failed")
+    Event(events_.get(), EventPriority::kState, "listen_failed")
         .Add("error", error)
         .Add("tries", static_cast<uint64_t>(tries) + 1);
     if (tries + 1 >= kListenTries) throw std::runtime_error(error);
@@ -368,7 +368,7 @@
   /// Settings changed. Addresses and names are fixed for the life of the
   /// process, so a reload only tells whether the file can be read.
   void Reload() {
-    Event(events_.get(), EventWeight::kState, "reload")
+    Event(events_.get(), EventPriority::kState, "reload")
         .Add("settings", settings_path_);
   }
 
@@ -378,7 +378,7 @@
     failover_->Retire();
     if (members_ != nullptr) members_->Leave();
     mirror_->Retire();
-    Event(events_.get(), EventWeight::kState, "drain_begin")
+    Event(events_.get(), EventPriority::kState, "drain_begin")
         .Add("callers", proxy_->callers())
         .Add("grace", settings_.stop_grace);
     const auto start = std::chrono::steady_clock::now();
@@ -398,7 +398,7 @@
 
   void AwaitDrained(core::TimePoint end) {
     if (proxy_->drained() || BootTime() >= end) {
-      Event(events_.get(), EventWeight::kState, "drain_end")
+      Event(events_.get(), EventPriority::kState, "drain_end")
           .Add("callers", proxy_->callers());
       gateway_->StopListening();
       stopped_();
--- a/src/ryefoldd/limits_host.cc
+++ b/src/ryefoldd/limits_host.cc
@@ -12,7 +12,7 @@
 namespace {
 
 using core::Event;
-using core::EventWeight;
+using core::EventPriority;
 using core::limits::AllowanceAnswer;
 using core::limits::AllowanceRequest;
 using core::limits::Granter;
@@ -53,7 +53,7 @@
   }
   if (!shards_.OnItems(items, changed)) return;
   const ShardTable table = shards_.table().value_or(ShardTable());
-  Event(surroundings_.events, EventWeight::kState, "limit_owners_known")
+  Event(surroundings_.events, EventPriority::kState, "limit_owners_known")
       .Add("table", table.number)
       .Add("shards", table.shards.size());
   ledger_.SetTable(now, table);
@@ -72,7 +72,7 @@
   if (!surroundings_.holds_duty()) return;
   const std::optional<ShardTable> due = assigner_.Due(BootTime());
   if (!due.has_value()) return;
-  Event(surroundings_.events, EventWeight::kState, "limit_owners_assigned")
+  Event(surroundings_.events, EventPriority::kState, "limit_owners_assigned")
       .Add("table", due->number)
       .Add("shards", due->shards.size());
   shards_.Write(*due);
@@ -111,7 +111,7 @@
   std::optional<AllowanceRequest> request =
       wire::ReadAllowanceRequest(call.body());
   if (!request.has_value()) {
-    Event(surroundings_.events, EventWeight::kState,
+    Event(surroundings_.events, EventPriority::kState,
           "allowance_request_unreadable")
         .Add("bytes", call.body().size());
     call.Refuse();
--- a/src/ryefoldd/mirror_host.cc
+++ b/src/ryefoldd/mirror_host.cc
@@ -11,7 +11,7 @@
 namespace {
 
 using core::Event;
-using core::EventWeight;
+using core::EventPriority;
 using core::mirror::ReadError;
 using core::mirror::ReadResult;
 using core::mirror::RelayState;
@@ -62,13 +62,15 @@
 
 void MirrorHost::ListStore(const std::string& after,
                            const core::AnswerLimits& limits) {
-  store_->List(after, {OnSteadyClock(limits.deadline), limits.silence},
+  store_->List(after,
+               {OnSteadyClock(limits.deadline), limits.inactivity_timeout},
                [this](const ReadResult& result) { Answered(result); });
 }
 
 void MirrorHost::WatchStore(uint64_t after, milliseconds wait,
                             const core::AnswerLimits& limits) {
-  store_->Watch(after, wait, {OnSteadyClock(limits.deadline), limits.silence},
+  store_->Watch(after, wait,
+                {OnSteadyClock(limits.deadline), limits.inactivity_timeout},
                 [this](const ReadResult& result) { Answered(result); });
 }
 
@@ -116,7 +118,7 @@
 void MirrorHost::OnQuestion(const wire::PeerCall& call) {
   const auto question = wire::ReadRelayQuestion(call.body());
   if (!question.has_value()) {
-    Event(events_, EventWeight::kState, "relay_question_unreadable")
+    Event(events_, EventPriority::kState, "relay_question_unreadable")
         .Add("bytes", call.body().size());
     call.Refuse();
     return;
--- a/testsuite/entry_faults/faults_test.cc
+++ b/testsuite/entry_faults/faults_test.cc
@@ -45,7 +45,7 @@
     return found == runs_.end() ? 0 : found->second;
   }
   static StatementAnswer Refused(Reason reason) {
-    return StatementAnswer::NotRun(NotRunProof::StatedByPeer(), reason,
+    return StatementAnswer::NotRun(NotRunProof::ReportedByPeer(), reason,
                                    milliseconds(10));
   }
 
--- a/testsuite/entry_forwarder/forwarder_test.cc
+++ b/testsuite/entry_forwarder/forwarder_test.cc
@@ -13,7 +13,7 @@
 TimePoint At(int64_t ms) { return TimePoint(milliseconds(ms)); }
 
 StatementAnswer NotRun(Reason reason) {
-  return StatementAnswer::NotRun(NotRunProof::StatedByPeer(), reason,
+  return StatementAnswer::NotRun(NotRunProof::ReportedByPeer(), reason,
                                  milliseconds(50));
 }
 
--- a/testsuite/platform_directory/directory_test.cc
+++ b/testsuite/platform_directory/directory_test.cc
@@ -31,8 +31,8 @@
                 const core::session::Roster& listed) override {
     roster = listed;
   }
-  bool Wants(core::EventWeight /*weight*/) override { return true; }
-  void Write(core::EventWeight /*weight*/, std::string_view line) override {
+  bool IsEnabled(core::EventPriority /*weight*/) override { return true; }
+  void Write(core::EventPriority /*weight*/, std::string_view line) override {
     lines.emplace_back(line);
   }
 
@@ -126,7 +126,7 @@
   wire::Findings findings;
   const auto database = DecodeDatabase("i-1", kSound, &findings);
   EXPECT_TRUE(findings.empty());
-  EXPECT_EQ(database.born.time_since_epoch().count(), 1764720000000);
+  EXPECT_EQ(database.started_at.time_since_epoch().count(), 1764720000000);
 }
 
 constexpr const char* kConfigOfWorkspaces =
--- a/testsuite/platform_lines/lines_test.cc
+++ b/testsuite/platform_lines/lines_test.cc
@@ -205,7 +205,7 @@
   EXPECT_EQ(table.routes.at("h").max_staleness,
             std::chrono::milliseconds(2500));
   EXPECT_EQ(table.groups.at("g").connection_limit, 53U);
-  EXPECT_EQ(table.transaction_idle, std::chrono::milliseconds(1234));
+  EXPECT_EQ(table.transaction_idle_timeout, std::chrono::milliseconds(1234));
 }
 
 // A configuration of which half is missing would drop routes that callers use.
--- a/testsuite/session_isolation/isolation_test.cc
+++ b/testsuite/session_isolation/isolation_test.cc
@@ -10,7 +10,7 @@
 namespace ryefold::testsuite {
 namespace {
 
-using core::session::Isolation;
+using core::session::IsolationDetector;
 
 constexpr uint32_t kInstances = 200;
 /// Connection limit of a database; fewer than one per instance.
@@ -134,10 +134,10 @@
   EXPECT_LE(delayed, 2 * fleet_.partitioned.size());
   for (CallerId caller = 1; caller <= kInstances; ++caller) {
     // An instance without any statement cannot detect the partition.
-    const bool partitioned =
+    const bool is_partitioned =
         fleet_.partitioned.count(HostOf(caller).name()) > 0;
     EXPECT_EQ(HostOf(caller).proxy()->ready(),
-              !partitioned || has_sent_.count(caller) == 0)
+              !is_partitioned || has_sent_.count(caller) == 0)
         << caller;
   }
   fleet_.partitioned.clear();
@@ -237,34 +237,37 @@
 }
 
 TEST(Isolation, OneResponseClearsCutOff) {
-  Isolation isolation;
-  isolation.SetOthers(Names(20));
+  IsolationDetector isolation;
+  isolation.SetPeers(Names(20));
   const TimePoint heard{std::chrono::seconds(100)};
-  isolation.Heard(heard);
+  isolation.RecordResponse(heard);
   const TimePoint sent_at = heard + milliseconds(1);
-  EXPECT_TRUE(isolation.ProbesDue(sent_at).empty());
-  isolation.Silent("i1", sent_at);
-  isolation.Silent("i2", sent_at);
+  EXPECT_TRUE(isolation.TakeDueProbes(sent_at).empty());
+  isolation.RecordTimeout("i1", sent_at);
+  isolation.RecordTimeout("i2", sent_at);
   int transitions = 0;
-  for (const std::string& probed : isolation.ProbesDue(sent_at)) {
-    transitions += isolation.Silent(probed, sent_at) ? 1 : 0;
+  for (const std::string& probed : isolation.TakeDueProbes(sent_at)) {
+    transitions += isolation.RecordTimeout(probed, sent_at) ? 1 : 0;
   }
   EXPECT_EQ(transitions, 1);
   EXPECT_TRUE(isolation.cut_off());
-  EXPECT_FALSE(isolation.ProbesDue(sent_at + std::chrono::seconds(1)).empty());
-  EXPECT_TRUE(isolation.Heard(sent_at));
+  EXPECT_FALSE(
+      isolation.TakeDueProbes(sent_at + std::chrono::seconds(1)).empty());
+  EXPECT_TRUE(isolation.RecordResponse(sent_at));
   EXPECT_FALSE(isolation.cut_off());
-  EXPECT_TRUE(isolation.ProbesDue(sent_at + std::chrono::seconds(2)).empty());
+  EXPECT_TRUE(
+      isolation.TakeDueProbes(sent_at + std::chrono::seconds(2)).empty());
 }
 
 // Statements to the same few failed keepers time out repeatedly. This is no
 // evidence about the rest of the fleet, which the probes check.
 TEST(Isolation, TimeoutsOfKeepersAloneDoNotCutOff) {
-  Isolation isolation;
-  isolation.SetOthers(Names(50));
+  IsolationDetector isolation;
+  isolation.SetPeers(Names(50));
   for (int i = 0; i < 100; ++i) {
     const std::string keeper = "i" + std::to_string(i % 10);
-    EXPECT_FALSE(isolation.Silent(keeper, TimePoint(milliseconds(i + 1))));
+    EXPECT_FALSE(
+        isolation.RecordTimeout(keeper, TimePoint(milliseconds(i + 1))));
   }
   EXPECT_FALSE(isolation.cut_off());
 }
@@ -274,22 +277,22 @@
 // of a second later. If they outweighed the response, the instance would reject
 // callers that it could serve through the one reachable peer.
 TEST(Isolation, TimeoutsOlderThanAResponseDoNotCount) {
-  Isolation isolation;
-  isolation.SetOthers(Names(10));
+  IsolationDetector isolation;
+  isolation.SetPeers(Names(10));
   const TimePoint sent_at{std::chrono::seconds(100)};
-  isolation.Heard(sent_at + milliseconds(1));
+  isolation.RecordResponse(sent_at + milliseconds(1));
   for (const std::string& other : Names(10)) {
-    EXPECT_FALSE(isolation.Silent(other, sent_at));
+    EXPECT_FALSE(isolation.RecordTimeout(other, sent_at));
   }
   EXPECT_FALSE(isolation.cut_off());
 }
 
 // An instance without peers cannot be cut off.
 TEST(Isolation, AloneIsNotCutOff) {
-  Isolation isolation;
-  isolation.SetOthers({});
-  EXPECT_FALSE(isolation.Silent("gone", TimePoint(milliseconds(1))));
-  EXPECT_TRUE(isolation.ProbesDue(TimePoint()).empty());
+  IsolationDetector isolation;
+  isolation.SetPeers({});
+  EXPECT_FALSE(isolation.RecordTimeout("gone", TimePoint(milliseconds(1))));
+  EXPECT_TRUE(isolation.TakeDueProbes(TimePoint()).empty());
 }
 
 }  // namespace
--- a/testsuite/session_leadership/walk_test.cc
+++ b/testsuite/session_leadership/walk_test.cc
@@ -165,7 +165,7 @@
     if (next.read == 0 || next.answered || !next.leads[0]) return;
     next.trace.push_back("old answers");
     next.answered = true;
-    next.proof.Claimed(Name(0), next.term[0], At(next.read), {1, 1});
+    next.proof.RecordClaim(Name(0), next.term[0], At(next.read), {1, 1});
     Add(std::move(next));
   }
   void SendRequest(State next, int i) {
@@ -189,7 +189,7 @@
     const int counts_from =
         rule_.counts_from_request ? request.sent : next.step();
     const int reported = rule_.compares_terms ? request.term : 1;
-    next.proof.Told(Name(i), At(counts_from), reported);
+    next.proof.RecordWitness(Name(i), At(counts_from), reported);
     Add(std::move(next));
   }
 
@@ -243,12 +243,12 @@
 // had seen. Its earlier answers must no longer count as evidence.
 TEST(LeadershipProof, DropsEvidenceOfARestartedDatabase) {
   LeadershipProof proof;
-  EXPECT_TRUE(proof.Claimed("old", 1, At(1), {1, 5}));
-  proof.Told("b", At(2), 1);
+  EXPECT_TRUE(proof.RecordClaim("old", 1, At(1), {1, 5}));
+  proof.RecordWitness("b", At(2), 1);
   EXPECT_EQ(proof.ProvedUntil(Others(), 1), At(2));
-  proof.Forget("b");
+  proof.DiscardEvidence("b");
   EXPECT_EQ(proof.ProvedUntil(Others(), 1), TimePoint());
-  proof.Forget("old");
+  proof.DiscardEvidence("old");
   EXPECT_EQ(proof.leader(), "");
   EXPECT_TRUE(proof.TakeClaims(At(9)).empty());
 }
--- a/testsuite/session_placement/placement_test.cc
+++ b/testsuite/session_placement/placement_test.cc
@@ -28,16 +28,16 @@
   LagEstimate lag;
   int64_t refused_at = 0;
   for (int64_t now = 0; now < 2000; now += 50) {
-    if (!lag.Expects(At(now), milliseconds(1400))) continue;
-    lag.Refused(At(now), milliseconds(1400));
+    if (!lag.ShouldTry(At(now), milliseconds(1400))) continue;
+    lag.RecordRejection(At(now), milliseconds(1400));
     refused_at = now;
   }
-  EXPECT_FALSE(lag.Expects(At(refused_at + 100), milliseconds(1400)));
+  EXPECT_FALSE(lag.ShouldTry(At(refused_at + 100), milliseconds(1400)));
   // The replica has caught up and is tried within a third of a second.
   const int64_t tried_at = refused_at + 300;
-  EXPECT_TRUE(lag.Expects(At(tried_at), milliseconds(1400)));
-  lag.Served(milliseconds(1400));
-  EXPECT_TRUE(lag.Expects(At(tried_at + 1), milliseconds(1400)));
+  EXPECT_TRUE(lag.ShouldTry(At(tried_at), milliseconds(1400)));
+  lag.RecordServed(milliseconds(1400));
+  EXPECT_TRUE(lag.ShouldTry(At(tried_at + 1), milliseconds(1400)));
 }
 
 // A read that tries a lagging replica is rejected and delayed by a round trip.
@@ -46,9 +46,9 @@
   LagEstimate lag;
   int trials = 0;
   for (int64_t now = 0; now < 10000; now += 5) {
-    if (!lag.Expects(At(now), milliseconds(500))) continue;
+    if (!lag.ShouldTry(At(now), milliseconds(500))) continue;
     ++trials;
-    lag.Refused(At(now), milliseconds(500));
+    lag.RecordRejection(At(now), milliseconds(500));
   }
   EXPECT_GE(trials, 10);
   EXPECT_LE(trials, 45);
@@ -56,21 +56,21 @@
 
 TEST(LagEstimate, ServesPositionsOlderThanItsBound) {
   LagEstimate lag;
-  lag.Refused(At(0), milliseconds(200));
-  EXPECT_FALSE(lag.Expects(At(10), milliseconds(5000)));
-  EXPECT_TRUE(lag.Expects(At(40), milliseconds(1000)));
-  EXPECT_FALSE(lag.Expects(At(40), milliseconds(100)));
+  lag.RecordRejection(At(0), milliseconds(200));
+  EXPECT_FALSE(lag.ShouldTry(At(10), milliseconds(5000)));
+  EXPECT_TRUE(lag.ShouldTry(At(40), milliseconds(1000)));
+  EXPECT_FALSE(lag.ShouldTry(At(40), milliseconds(100)));
 }
 
 // One answer shows that a replica lags by three seconds, a later one that it
 // has nearly caught up. The estimate must follow the later answer immediately.
 TEST(LagEstimate, FollowsWhatAnswersShow) {
   LagEstimate lag;
-  lag.Observed(milliseconds(3000));
-  lag.Refused(At(0), milliseconds(1000));
-  EXPECT_FALSE(lag.Expects(At(100), milliseconds(1400)));
-  lag.Observed(milliseconds(70));
-  EXPECT_TRUE(lag.Expects(At(100), milliseconds(1400)));
+  lag.RecordLag(milliseconds(3000));
+  lag.RecordRejection(At(0), milliseconds(1000));
+  EXPECT_FALSE(lag.ShouldTry(At(100), milliseconds(1400)));
+  lag.RecordLag(milliseconds(70));
+  EXPECT_TRUE(lag.ShouldTry(At(100), milliseconds(1400)));
 }
 
 TEST(OrderForRead, PrefersReplicasAndTheOwnFailureDomain) {
@@ -94,9 +94,9 @@
 // A suspected database may never answer; reads sent to it would wait until they
 // are hedged.
 TEST(OrderForRead, PutsSuspectedDatabasesLast) {
-  ReadCandidate suspected = Candidate(0, 0);
-  suspected.suspect = true;
-  EXPECT_EQ(OrderForRead({suspected, Candidate(1, 5)}).front(), 1U);
+  ReadCandidate unresponsive = Candidate(0, 0);
+  unresponsive.suspected = true;
+  EXPECT_EQ(OrderForRead({unresponsive, Candidate(1, 5)}).front(), 1U);
 }
 
 }  // namespace
--- a/testsuite/session_pool/database_pool_test.cc
+++ b/testsuite/session_pool/database_pool_test.cc
@@ -18,12 +18,12 @@
 
 TEST(DatabasePool, CountsWhatIsOpeningAndHeld) {
   DatabasePool pool;
-  pool.Opening(kStart, 1, "v");
-  pool.Opening(kStart, 2, "w");
+  pool.AddOpening(kStart, 1, "v");
+  pool.AddOpening(kStart, 2, "w");
   EXPECT_EQ(pool.size(), 2U);
   EXPECT_EQ(pool.opening(), 2U);
   EXPECT_EQ(pool.opening("v"), 1U);
-  pool.Opened(1);
+  pool.MarkOpen(1);
   pool.Return(kStart, 1);
   EXPECT_EQ(pool.opening(), 1U);
   EXPECT_TRUE(pool.HasIdle("v"));
@@ -39,8 +39,8 @@
 TEST(DatabasePool, EvictsTheLeastRecentlyUsedOfAnother) {
   DatabasePool pool;
   for (const ConnectionId id : {1, 2, 3}) {
-    pool.Opening(kStart, id, id == 2 ? "w" : "v");
-    pool.Opened(id);
+    pool.AddOpening(kStart, id, id == 2 ? "w" : "v");
+    pool.MarkOpen(id);
     pool.Take(id);
   }
   pool.Return(kStart, 2);
@@ -55,8 +55,8 @@
 // connections, so that neither is ever served.
 TEST(DatabasePool, ReservesANewConnectionForItsWorkspace) {
   DatabasePool pool;
-  pool.Opening(kStart, 1, "v");
-  pool.Opened(1);
+  pool.AddOpening(kStart, 1, "v");
+  pool.MarkOpen(1);
   pool.Return(kStart, 1);
   EXPECT_EQ(pool.EvictableFor(kStart, "w"), std::nullopt);
   EXPECT_EQ(pool.EvictableFor(kStart + milliseconds(200), "w"), 1U);
@@ -78,7 +78,7 @@
             : std::next(model.begin(), static_cast<int>(step % model.size()));
     if (step % 4 == 0 || it == model.end()) {
       const std::string workspace = "w" + std::to_string(step % 3);
-      pool.Opening(kStart, ++last, workspace);
+      pool.AddOpening(kStart, ++last, workspace);
       model[last] = {workspace, 0};
     } else if (step % 4 == 1) {
       pool.Remove(it->first);
@@ -87,7 +87,7 @@
       pool.Take(it->first);
       it->second.second = 1;
     } else {
-      pool.Opened(it->first);
+      pool.MarkOpen(it->first);
       pool.Return(kStart, it->first);
       it->second.second = 2;
     }
--- a/testsuite/session_token/token_test.cc
+++ b/testsuite/session_token/token_test.cc
@@ -107,7 +107,7 @@
     const LogPosition step{term, index};
     highest = std::max(highest, step);
     Advance(&token, "g", step);
-    RC_ASSERT(NeedOf(token, "g").seen == highest);
+    RC_ASSERT(RequirementOf(token, "g").seen == highest);
   }
 }
 
@@ -124,8 +124,10 @@
   RC_ASSERT(sent.has_value());
   RC_ASSERT(sent->seen.size() <= kMaxGroups);
   for (size_t i = 0; i < groups; ++i) {
-    const Need need = NeedOf(*sent, "group" + std::to_string(i));
-    RC_ASSERT(need.current || need.seen == (LogPosition{1, i + 1}));
+    const ReadRequirement requirement =
+        RequirementOf(*sent, "group" + std::to_string(i));
+    RC_ASSERT(requirement.must_be_current ||
+              requirement.seen == (LogPosition{1, i + 1}));
   }
 }
 
@@ -144,7 +146,7 @@
 TEST(SessionToken, SessionsInFewGroupsStayExact) {
   Token token;
   Advance(&token, "a", {1, 5});
-  EXPECT_FALSE(NeedOf(token, "b").current);
+  EXPECT_FALSE(RequirementOf(token, "b").must_be_current);
 }
 
 RC_GTEST_PROP(SessionToken, CoversSaysWhetherTheEntryIsInTheLog, ()) {
@@ -166,22 +168,22 @@
   const Log& now = logs.back();
   const size_t index = *rc::gen::inRange<size_t>(1, seen.size() + 1);
   const LogPosition position{seen[index - 1], index};
-  const LogPosition cut = CutBack(position, StartsOf(now));
+  const LogPosition cut = LimitToExisting(position, StartsOf(now));
   RC_ASSERT(cut.index <= position.index);
   RC_ASSERT(cut.index >= std::min(index, CommonPrefix(seen, now)));
   RC_ASSERT(Covers(LastOf(now), StartsOf(now), cut) ||
             position.term == LastOf(now).term);
-  RC_ASSERT(CutBack(cut, StartsOf(now)) == cut);
+  RC_ASSERT(LimitToExisting(cut, StartsOf(now)) == cut);
 }
 
 TEST(SessionToken, CutBackToTheEntryBeforeTheNewTerm) {
   const std::vector<TermStart> starts = {{1, 1}, {2, 90}};
-  EXPECT_EQ(CutBack({1, 100}, starts), (LogPosition{1, 89}));
-  EXPECT_EQ(CutBack({1, 80}, starts), (LogPosition{1, 80}));
-  EXPECT_EQ(CutBack({2, 95}, starts), (LogPosition{2, 95}));
-  EXPECT_EQ(CutBack({3, 200}, starts), (LogPosition{3, 200}));
-  EXPECT_EQ(CutBack({1, 5}, {}), (LogPosition{1, 5}));
-  EXPECT_EQ(CutBack({1, 5}, {{2, 1}}), LogPosition());
+  EXPECT_EQ(LimitToExisting({1, 100}, starts), (LogPosition{1, 89}));
+  EXPECT_EQ(LimitToExisting({1, 80}, starts), (LogPosition{1, 80}));
+  EXPECT_EQ(LimitToExisting({2, 95}, starts), (LogPosition{2, 95}));
+  EXPECT_EQ(LimitToExisting({3, 200}, starts), (LogPosition{3, 200}));
+  EXPECT_EQ(LimitToExisting({1, 5}, {}), (LogPosition{1, 5}));
+  EXPECT_EQ(LimitToExisting({1, 5}, {{2, 1}}), LogPosition());
 }
 
 }  // namespace
--- a/testsuite/session_watermarks/watermarks_test.cc
+++ b/testsuite/session_watermarks/watermarks_test.cc
@@ -17,9 +17,9 @@
   marks.Record(At(0), {1, 10});
   marks.Record(At(100), {1, 20});
   marks.Record(At(200), {1, 30});
-  EXPECT_EQ(marks.Covering(At(50))->position, (LogPosition{1, 20}));
-  EXPECT_EQ(marks.Covering(At(200))->position, (LogPosition{1, 30}));
-  EXPECT_FALSE(marks.Covering(At(201)).has_value());
+  EXPECT_EQ(marks.OldestSince(At(50))->position, (LogPosition{1, 20}));
+  EXPECT_EQ(marks.OldestSince(At(200))->position, (LogPosition{1, 30}));
+  EXPECT_FALSE(marks.OldestSince(At(201)).has_value());
 }
 
 // A promotion discards what the new primary had not received. Every database
@@ -29,9 +29,9 @@
   Watermarks marks;
   marks.Record(At(0), {1, 500});
   marks.Record(At(100), {2, 498});
-  EXPECT_EQ(marks.Covering(At(0))->position, (LogPosition{2, 498}));
-  EXPECT_EQ(marks.Current({1, 500}), (LogPosition{2, 498}));
-  EXPECT_EQ(marks.Current({2, 510}), (LogPosition{2, 510}));
+  EXPECT_EQ(marks.OldestSince(At(0))->position, (LogPosition{2, 498}));
+  EXPECT_EQ(marks.RequiredPosition({1, 500}), (LogPosition{2, 498}));
+  EXPECT_EQ(marks.RequiredPosition({2, 510}), (LogPosition{2, 510}));
 }
 
 // The answer of a replaced primary can arrive after its successor's. If it were
@@ -50,9 +50,9 @@
   marks.Record(At(0), {1, 10});
   marks.Record(At(100), {1, 20});
   marks.Record(At(200), {1, 30});
-  EXPECT_EQ(marks.Behind(At(250), {1, 30}), milliseconds(50));
-  EXPECT_EQ(marks.Behind(At(250), {1, 29}), milliseconds(150));
-  EXPECT_FALSE(marks.Behind(At(250), {1, 9}).has_value());
+  EXPECT_EQ(marks.LagBound(At(250), {1, 30}), milliseconds(50));
+  EXPECT_EQ(marks.LagBound(At(250), {1, 29}), milliseconds(150));
+  EXPECT_FALSE(marks.LagBound(At(250), {1, 9}).has_value());
 }
 
 struct Commit {
@@ -77,7 +77,7 @@
       marks.Record(At(now), {1, index});
     }
     const int64_t moment = now - *rc::gen::inRange(0, 500);
-    const auto mark = marks.Covering(At(moment));
+    const auto mark = marks.OldestSince(At(moment));
     if (!mark.has_value()) continue;
     for (const Commit& commit : commits) {
       if (commit.at < moment) RC_ASSERT(commit.position <= mark->position);
--- a/testsuite/support/mirror/fake_store_keys.h
+++ b/testsuite/support/mirror/fake_store_keys.h
@@ -137,13 +137,13 @@
 
   /// When a call that gets no answer is given up.
   TimePoint GivenUp(const AnswerLimits& limits) const {
-    return std::min(limits.deadline, clock_->now() + limits.silence);
+    return std::min(limits.deadline, clock_->now() + limits.inactivity_timeout);
   }
 
   bool Reached(const std::string& instance, const AnswerLimits& limits,
                const std::function<void(const ReadResult&)>& done) {
     ++calls;
-    if (SilentTo(instance) || delay > limits.silence) {
+    if (SilentTo(instance) || delay > limits.inactivity_timeout) {
       clock_->At(GivenUp(limits), [done] { done(ReadError::kUnreachable); });
       return false;
     }
--- a/testsuite/support/mirror/fleet.h
+++ b/testsuite/support/mirror/fleet.h
@@ -28,8 +28,8 @@
  public:
   StoryLog(MirrorFleet* fleet, std::string name)
       : fleet_(fleet), name_(std::move(name)) {}
-  bool Wants(core::EventWeight /*weight*/) override { return true; }
-  void Write(core::EventWeight weight, std::string_view line) override;
+  bool IsEnabled(core::EventPriority /*weight*/) override { return true; }
+  void Write(core::EventPriority weight, std::string_view line) override;
 
  private:
   MirrorFleet* fleet_;
@@ -190,7 +190,7 @@
               }),
       relay_(&mirror_.log(), this) {}
 
-inline void StoryLog::Write(core::EventWeight /*weight*/,
+inline void StoryLog::Write(core::EventPriority /*weight*/,
                             std::string_view line) {
   constexpr size_t kMostLines = 200;
   const auto at = std::chrono::duration_cast<milliseconds>(
--- a/testsuite/support/session/instance_host.h
+++ b/testsuite/support/session/instance_host.h
@@ -58,7 +58,7 @@
     database.group = "group";
     database.address = std::string("10.0.0.1:1") + id[3];
     database.failure_domain = std::string(id).substr(3);
-    database.born = std::chrono::sys_time<milliseconds>(
+    database.started_at = std::chrono::sys_time<milliseconds>(
         std::chrono::duration_cast<milliseconds>(
             cluster.database(id).started_at.time_since_epoch()));
     database.claims_primary = cluster.database(id).primary;
@@ -254,7 +254,7 @@
 
   void Forward(core::session::ForwardId call, const std::string& keeper,
                const core::session::ForwardedStatement& statement,
-               const core::session::ForwardTerms& terms) override {
+               const core::session::ForwardTimeouts& terms) override {
     using core::session::ForwardOutcome;
     ++fleet_->forwarded_count;
     fleet_->last_forwarded = statement;
@@ -267,7 +267,7 @@
     const bool reply_lost = fleet_->lose_one_in > 0 &&
                             fleet_->forwarded_count % fleet_->lose_one_in == 0;
     if (!fleet_->Reaches(name_, keeper)) {
-      clock_->At(terms.alive_by, [this, call, stream] {
+      clock_->At(terms.send_by, [this, call, stream] {
         CompleteForward(call, stream, ForwardOutcome::kNotSent, Reply());
       });
       return;
@@ -275,7 +275,7 @@
     clock_->At(terms.deadline, [this, call, stream] {
       CompleteForward(call, stream, ForwardOutcome::kLost, Reply());
     });
-    if (terms.lost_in_silence) CheckStreamAlive(call, stream, keeper);
+    if (terms.fail_if_unreachable) CheckStreamAlive(call, stream, keeper);
     clock_->After(milliseconds(1), [this, keeper_host, call, statement,
                                     reply_lost, stream] {
       keeper_host->Adopt(statement, [this, keeper_host, call, reply_lost,
@@ -325,10 +325,10 @@
   void Adopt(const core::session::ForwardedStatement& statement,
              std::function<void(Reply)> on_reply) {
     const auto entry =
-        adopted_.Enter(statement.session, statement.in_transaction);
-    if (entry.abandoned != 0) {
-      pending_answers_.erase(entry.abandoned);
-      proxy_->CallerGone(clock_->now(), entry.abandoned);
+        adopted_.Register(statement.session, statement.in_transaction);
+    if (entry.superseded_caller != 0) {
+      pending_answers_.erase(entry.superseded_caller);
+      proxy_->CallerGone(clock_->now(), entry.superseded_caller);
     }
     pending_answers_[entry.caller] = std::move(on_reply);
     proxy_->AdoptStatement(clock_->now(), entry.caller, statement);
