--- a/src/libcore/group/keeper_answers.cc
+++ b/src/libcore/group/keeper_answers.cc
@@ -55,7 +55,7 @@
   }
   LogPosition needed = pending->read.seen;
   if (const auto* primary = health_.status(leadership_.primary())) {
-    needed = session::CutBack(needed, primary->term_starts);
+    needed = session::LimitToExisting(needed, primary->term_starts);
   }
   // Between its status and the read, the database may have lost entries to a
   // newer primary. The answer's own position shows what the read has seen.
--- a/src/libcore/group/reads.cc
+++ b/src/libcore/group/reads.cc
@@ -93,7 +93,7 @@
   needs.deadline = deadline;
   needs.seen = read.seen;
   if (const DatabaseStatus* primary = context.health.status(context.primary)) {
-    needs.seen = session::CutBack(read.seen, primary->term_starts);
+    needs.seen = session::LimitToExisting(read.seen, primary->term_starts);
   }
   const LogPosition wanted =
       std::max(needs.seen, read.fresh_position.value_or(LogPosition{}));
--- a/src/libcore/session/proxy_callers.cc
+++ b/src/libcore/session/proxy_callers.cc
@@ -37,7 +37,7 @@
   }
   const std::shared_ptr<const Route> found = RouteOf(route);
   if (found == nullptr) {
-    Event(events_, EventWeight::kRequest, "caller_refused")
+    Event(events_, EventPriority::kRequest, "caller_refused")
         .Add("caller", id)
         .Add("database", route)
         .Add("reason", "no_route")
@@ -294,7 +294,7 @@
     }
     if (caller->state == TransactionState::kOpen) {
       caller->transaction.idle_deadline =
-          now + route_table_.transaction_idle + kIdleTimeoutMargin;
+          now + route_table_.transaction_idle_timeout + kIdleTimeoutMargin;
     }
   }
   const auto latency = std::chrono::duration_cast<std::chrono::microseconds>(
@@ -303,7 +303,7 @@
   if (observer_ != nullptr) {
     observer_->OnAnswer(*request->route, reply.error, latency);
   }
-  Event(events_, EventWeight::kRequest, "answered")
+  Event(events_, EventPriority::kRequest, "answered")
       .Add("request", request->statement_id)
       .Add("caller", request->caller)
       .Add("route", request->route->name)
@@ -332,7 +332,7 @@
   const Group* group = GroupOf(*request);
   const DatabaseState* primary =
       group == nullptr ? nullptr : FindDatabase(group->primary);
-  Event(events_, EventWeight::kRequest, "refused")
+  Event(events_, EventPriority::kRequest, "refused")
       .Add("request", request->statement_id)
       .Add("primary", primary == nullptr ? "unknown" : primary->info.id)
       .Add("connections", primary == nullptr ? 0 : primary->pool.size())
@@ -395,7 +395,7 @@
   if (caller == nullptr) return;
   Request* request = FindRequest(caller->request);
   if (request != nullptr) {
-    Event(events_, EventWeight::kRequest, "caller_left")
+    Event(events_, EventPriority::kRequest, "caller_left")
         .Add("request", request->statement_id)
         .Add("caller", id)
         .Add("database", request->database);
@@ -414,7 +414,7 @@
       continue;
     }
     if (now < caller.transaction.idle_deadline) continue;
-    Event(events_, EventWeight::kRequest, "transaction_ended")
+    Event(events_, EventPriority::kRequest, "transaction_ended")
         .Add("caller", id)
         .Add("reason", "idle");
     FailTransaction(now, &caller);
--- a/src/libcore/session/proxy_confirming.cc
+++ b/src/libcore/session/proxy_confirming.cc
@@ -70,7 +70,7 @@
     received.push_back(
         std::max(database.status.received, database.applied_position));
   }
-  return settings_.confirmation->Holds(position, received);
+  return settings_.confirmation->IsSatisfied(position, received);
 }
 
 /// Handles a commit that the primary has acknowledged.
@@ -218,7 +218,7 @@
                         IsConfirmed(now, *group, group->writes_held_position,
                                     group->writes_held_primary);
   if (!resolved) return;
-  Event(events_, EventWeight::kState, "writes_resumed")
+  Event(events_, EventPriority::kState, "writes_resumed")
       .Add("group", group->name)
       .Add("position", group->writes_held_position.index)
       .Add("term", group->term)
@@ -245,7 +245,7 @@
       group->writes_held_position = *oldest->unconfirmed_reply->position;
       group->writes_held_primary = oldest->database;
       group->writes_held_since = now;
-      Event(events_, EventWeight::kState, "writes_held")
+      Event(events_, EventPriority::kState, "writes_held")
           .Add("group", group->name)
           .Add("primary", group->writes_held_primary)
           .Add("position", group->writes_held_position.index)
--- a/src/libcore/session/proxy_directory.cc
+++ b/src/libcore/session/proxy_directory.cc
@@ -46,7 +46,7 @@
 
 void Proxy::Impl::OnRoutes(TimePoint now, const RouteTable& routes) {
   if (have_routes_ && routes.version <= route_table_.version) return;
-  Event(events_, EventWeight::kState, "config_in_force")
+  Event(events_, EventPriority::kState, "config_in_force")
       .Add("version", routes.version)
       .Add("previous", route_table_.version)
       .Add("routes", routes.routes.size());
@@ -86,7 +86,7 @@
     DatabaseState& database = databases_[id];
     const bool known = !database.info.id.empty();
     if (known && database.info == info && !database.unlisted) continue;
-    Event(events_, EventWeight::kState,
+    Event(events_, EventPriority::kState,
           known ? "database_changed" : "database_added")
         .Add("database", id)
         .Add("group", info.group)
@@ -94,7 +94,7 @@
         .Add("draining", info.draining ? "yes" : "no")
         .Add("claims_primary", info.claims_primary ? "yes" : "no")
         .Add("was_unlisted", database.unlisted ? "yes" : "no");
-    if (known && info.born != database.info.born) {
+    if (known && info.started_at != database.info.started_at) {
       ResetRestartedDatabase(now, &database);
     }
     if (info.draining && !database.info.draining) database.draining_since = now;
@@ -111,7 +111,7 @@
   }
   for (auto& [id, database] : databases_) {
     if (roster.count(id) > 0 || database.unlisted) continue;
-    Event(events_, EventWeight::kState, "database_unlisted")
+    Event(events_, EventPriority::kState, "database_unlisted")
         .Add("database", id)
         .Add("group", database.info.group);
     database.unlisted = true;
@@ -129,7 +129,7 @@
 /// Its earlier leadership and terms must not count as proof.
 void Proxy::Impl::ResetRestartedDatabase(TimePoint now,
                                          DatabaseState* database) {
-  Event(events_, EventWeight::kState, "database_restarted")
+  Event(events_, EventPriority::kState, "database_restarted")
       .Add("database", database->info.id)
       .Add("group", database->info.group)
       .Add("had_received", database->status.received.index)
@@ -142,7 +142,7 @@
   database->status_valid_after = now;
   database->lag = LagEstimate();
   Group* group = EnsureGroup(database->info.group);
-  group->proof.Forget(database->info.id);
+  group->proof.DiscardEvidence(database->info.id);
   if (group->primary == database->info.id) {
     MarkDeposed(now, group, database->info.id, "restarted with empty state");
   }
--- a/src/libcore/session/proxy_forwarding.cc
+++ b/src/libcore/session/proxy_forwarding.cc
@@ -186,17 +186,17 @@
   const bool is_transaction_step = forwarded.in_transaction;
   const bool run_at_most_once = request->writes || is_transaction_step;
   const TimePoint answer_deadline = request->timeout_at + kAnswerMargin;
-  ForwardTerms terms;
+  ForwardTimeouts terms;
   // A repeatable statement is retried on another keeper after its goal.
   terms.deadline = run_at_most_once || now >= request->goal_deadline
                        ? answer_deadline
                        : request->goal_deadline;
-  terms.alive_by =
+  terms.send_by =
       now + (is_transaction_step ? kTransactionAliveTimeout : kAliveTimeout);
   const bool is_commit = request->statement.kind == StatementKind::kCommit;
   const bool may_commit =
       is_commit || (request->writes && !is_transaction_step);
-  terms.lost_in_silence = !may_commit;
+  terms.fail_if_unreachable = !may_commit;
   SetTimer(request, answer_deadline + kAnswerMargin);
   forwarder_->Forward(request->id, keeper, forwarded, terms);
 }
@@ -221,7 +221,7 @@
   if (newly_suspected) {
     const Group* group = GroupOf(*request);
     if (group != nullptr) ProbeKeepers(now, *group);
-    Event(events_, EventWeight::kState, "keeper_lost")
+    Event(events_, EventPriority::kState, "keeper_lost")
         .Add("keeper", keeper)
         .Add("request", request->statement_id)
         .Add("sent", outcome == ForwardOutcome::kLost ? "yes" : "no");
@@ -326,7 +326,7 @@
   caller->variables = std::move(forwarded.variables);
   caller->prepared.clear();
   for (const auto& [name, prepared] : forwarded.prepared) {
-    caller->prepared[name] = InternPrepared(prepared.writes, prepared.shape);
+    caller->prepared[name] = InternPrepared(prepared.writes, prepared.text);
   }
   CallerStatement(now, id, forwarded.statement_id,
                   std::move(forwarded.statement));
--- a/src/libcore/session/proxy_identity.cc
+++ b/src/libcore/session/proxy_identity.cc
@@ -22,7 +22,7 @@
         identity.workspace == nullptr ? "" : identity.workspace->name;
     return true;
   }
-  Event(events_, EventWeight::kRequest, "caller_refused")
+  Event(events_, EventPriority::kRequest, "caller_refused")
       .Add("caller", caller->id)
       .Add("database", caller->route)
       .Add("reason", "unknown_key")
@@ -56,7 +56,7 @@
     caller.revoked = true;
     revoked_callers_.insert(id);
     const Request* request = FindRequest(caller.request);
-    Event(events_, EventWeight::kRequest, "session_revoked")
+    Event(events_, EventPriority::kRequest, "session_revoked")
         .Add("caller", id)
         .Add("workspace", caller.workspace)
         .Add("key_fingerprint", workspace::Fingerprint(caller.key))
@@ -162,7 +162,7 @@
                                  Request* request) {
   Caller& caller = callers_.at(request->caller);
   if (connection->workspace == caller.workspace) return true;
-  Event(events_, EventWeight::kState, "foreign_connection")
+  Event(events_, EventPriority::kState, "foreign_connection")
       .Add("request", request->statement_id)
       .Add("workspace", caller.workspace)
       .Add("connection_of", connection->workspace);
--- a/src/libcore/session/proxy_impl.h
+++ b/src/libcore/session/proxy_impl.h
@@ -267,7 +267,7 @@
   void RecordCallSent(TimePoint now, DatabaseState* database);
   bool IsDatabaseSuspected(TimePoint now, const DatabaseState& database) const;
   bool MayAcceptConnection(TimePoint now, const DatabaseState& database) const;
-  uint32_t InFlightLimit(const DatabaseState& database) const;
+  uint32_t InFlightLimitOf(const DatabaseState& database) const;
   bool AcceptsWork(TimePoint now, const DatabaseState& database) const;
   uint32_t ConnectionLimit(TimePoint now, const DatabaseState& database) const;
   void CloseUnresponsiveIdle(TimePoint now, TimePoint since,
@@ -313,7 +313,7 @@
   bool have_instances_ = false;
   TimePoint instances_since_;
   std::vector<KeeperCandidate> instances_;
-  Isolation isolation_;
+  IsolationDetector isolation_;
   /// Instances with a pending probe, and the time at which it was sent.
   std::map<std::string, TimePoint> pending_probes_;
   std::unordered_map<RequestId, Request> requests_;
--- a/src/libcore/session/proxy_instances.cc
+++ b/src/libcore/session/proxy_instances.cc
@@ -40,7 +40,7 @@
   }
   // Names sort by failure domain, and a failure domain can fail as a whole.
   std::shuffle(others.begin(), others.end(), std::mt19937_64(settings_.seed));
-  isolation_.SetOthers(std::move(others));
+  isolation_.SetPeers(std::move(others));
   AssignKeepers(now);
   ServeAllQueues(now);
 }
@@ -56,20 +56,20 @@
 }
 
 void Proxy::Impl::RecordPeerContact(TimePoint now) {
-  const TimePoint before = isolation_.heard_at();
-  if (!isolation_.Heard(now)) return;
-  Event(events_, EventWeight::kState, "peers_regained")
+  const TimePoint before = isolation_.last_contact();
+  if (!isolation_.RecordResponse(now)) return;
+  Event(events_, EventPriority::kState, "peers_regained")
       .Add("after", now - before);
 }
 
 void Proxy::Impl::SuspectInstance(TimePoint now, const std::string& instance,
                                   TimePoint requested_at) {
   peers_[instance].suspected_until = now + kSuspicionPeriod;
-  if (!isolation_.Silent(instance, requested_at)) return;
-  Event(events_, EventWeight::kState, "cut_off")
-      .Add("silent", isolation_.silent())
+  if (!isolation_.RecordTimeout(instance, requested_at)) return;
+  Event(events_, EventPriority::kState, "cut_off")
+      .Add("silent", isolation_.timed_out_count())
       .Add("instances", instances_.size())
-      .Add("last_heard", now - isolation_.heard_at());
+      .Add("last_heard", now - isolation_.last_contact());
 }
 
 bool Proxy::Impl::IsInstanceSuspected(TimePoint now,
@@ -105,7 +105,7 @@
 
 void Proxy::Impl::ProbePeers(TimePoint now) {
   if (forwarder_ == nullptr) return;
-  for (const std::string& instance : isolation_.ProbesDue(now)) {
+  for (const std::string& instance : isolation_.TakeDueProbes(now)) {
     ProbeInstance(now, instance);
   }
 }
@@ -127,7 +127,7 @@
         [this](const KeeperCandidate& each) { return each.instance == self_; });
     const bool is_keeper = count == 0 || selected;
     if (is_keeper != group->is_keeper) {
-      Event(events_, EventWeight::kState,
+      Event(events_, EventPriority::kState,
             is_keeper ? "group_kept" : "group_left")
           .Add("group", name)
           .Add("keepers", keepers.size())
@@ -173,7 +173,7 @@
     if (!workspace.empty()) {
       const auto& domain_keepers =
           group.keepers_by_domain.at(keeper.failure_domain);
-      cost += kRankCost * static_cast<uint32_t>(RankAmong(
+      cost += kRankCost * static_cast<uint32_t>(RendezvousRank(
                               workspace, keeper.instance, domain_keepers));
     }
     if (best != nullptr && cost >= best_cost) continue;
--- a/src/libcore/session/proxy_leadership.cc
+++ b/src/libcore/session/proxy_leadership.cc
@@ -53,7 +53,7 @@
     return false;
   }
   if (group->primary != database) {
-    Event(events_, EventWeight::kState, "primary_known")
+    Event(events_, EventPriority::kState, "primary_known")
         .Add("group", group->name)
         .Add("database", database)
         .Add("term", term)
@@ -68,7 +68,7 @@
   group->last_claim_at = std::max(group->last_claim_at, sent_at);
   group->deposed.erase(database);
   if (group->expected_primary == database) group->expected_primary.clear();
-  group->proof.Claimed(database, term, sent_at, position);
+  group->proof.RecordClaim(database, term, sent_at, position);
   SettleProofs(now, group);
   return true;
 }
@@ -78,7 +78,7 @@
                               const std::string& why) {
   group->deposed.insert(database);
   if (group->primary != database) return;
-  Event(events_, EventWeight::kState, "primary_lost")
+  Event(events_, EventPriority::kState, "primary_lost")
       .Add("group", group->name)
       .Add("database", database)
       .Add("term", group->term)
@@ -139,7 +139,7 @@
       group->last_claim_at >= claimant->claims_since) {
     return;
   }
-  Event(events_, EventWeight::kState, "primary_known")
+  Event(events_, EventPriority::kState, "primary_known")
       .Add("group", group->name)
       .Add("database", id)
       .Add("term", group->term)
@@ -156,11 +156,11 @@
   database->status = report;
   database->status_as_of = requested_at;
   const std::string& id = database->info.id;
-  group->proof.Told(id, requested_at, report.term);
+  group->proof.RecordWitness(id, requested_at, report.term);
   if (!report.primary) {
     ObserveTerm(now, group, id, report.term);
   } else if (report.term >= group->term) {
-    group->proof.Claimed(id, report.term, requested_at, report.received);
+    group->proof.RecordClaim(id, report.term, requested_at, report.received);
   }
   SettleCommits(now, group);
   SettleProofs(now, group);
@@ -178,7 +178,7 @@
   if (report.term < group->term || group->primary == id) return;
   const bool newer = report.term > group->term;
   if (!newer && !group->primary.empty()) return;
-  Event(events_, EventWeight::kState, "primary_known")
+  Event(events_, EventPriority::kState, "primary_known")
       .Add("group", group->name)
       .Add("database", id)
       .Add("term", report.term)
--- a/src/libcore/session/proxy_pool.cc
+++ b/src/libcore/session/proxy_pool.cc
@@ -82,18 +82,18 @@
   return database.pool.opening() == 0 && now >= database.open_not_before;
 }
 
-uint32_t Proxy::Impl::InFlightLimit(const DatabaseState& database) const {
+uint32_t Proxy::Impl::InFlightLimitOf(const DatabaseState& database) const {
   const auto group = groups_.find(database.info.group);
   const size_t keepers =
       group == groups_.end() ? 0 : group->second->keepers.size();
   const size_t holders = keepers > 0 ? keepers : instances_.size();
-  return WindowOf(database.info.slots, holders);
+  return InFlightLimit(database.info.slots, holders);
 }
 
 bool Proxy::Impl::AcceptsWork(TimePoint now,
                               const DatabaseState& database) const {
   if (now < database.busy_until) return false;
-  if (database.in_flight >= InFlightLimit(database)) return false;
+  if (database.in_flight >= InFlightLimitOf(database)) return false;
   if (!database.info.draining) return true;
   const auto group = groups_.find(database.info.group);
   return group != groups_.end() && group->second->primary == database.info.id &&
@@ -109,7 +109,7 @@
   const size_t keepers = group->second->keepers.size();
   const bool by_workspace = workspaces_.keys_required();
   if (keepers > 0) {
-    const uint32_t share = ConnectionsOfKeeper(limit, keepers, by_workspace);
+    const uint32_t share = ConnectionsPerKeeper(limit, keepers, by_workspace);
     const bool recently_started =
         now - instances_since_ < kDeadConnectionPeriod;
     if (!by_workspace || !recently_started) return share;
@@ -148,7 +148,7 @@
   connection.open_deadline = now + kOpenTimeout;
   const ConnectionId id = connection.id;
   connections_.emplace(id, std::move(connection));
-  database->pool.Opening(now, id, workspace);
+  database->pool.AddOpening(now, id, workspace);
   ++database->unanswered;
   RecordCallSent(now, database);
   ++counters_.connections_opened;
@@ -207,10 +207,10 @@
   if (connection == nullptr) return;
   DatabaseState* database = FindDatabase(connection->database);
   connection->open = true;
-  database->pool.Opened(id);
+  database->pool.MarkOpen(id);
   --database->unanswered;
   if (database->refusals > 0) {
-    Event(events_, EventWeight::kState, "database_reachable")
+    Event(events_, EventPriority::kState, "database_reachable")
         .Add("database", database->info.id)
         .Add("refusals", database->refusals);
   }
@@ -232,7 +232,7 @@
   }
   ++database->refusals;
   if (database->refusals == 1) {
-    Event(events_, EventWeight::kState, "database_refuses")
+    Event(events_, EventPriority::kState, "database_refuses")
         .Add("database", database->info.id)
         .Add("error", ErrorName(error))
         .Add("last_heard", now - database->last_contact);
@@ -366,7 +366,7 @@
       continue;
     }
     const std::string id = it->first;
-    Event(events_, EventWeight::kState, "database_gone").Add("database", id);
+    Event(events_, EventPriority::kState, "database_gone").Add("database", id);
     std::vector<ConnectionId> open;
     for (const auto& [connection, state] : connections_) {
       if (state.database == id) open.push_back(connection);
--- a/src/libcore/session/proxy_proving.cc
+++ b/src/libcore/session/proxy_proving.cc
@@ -27,7 +27,8 @@
   // copy.
   const size_t min_copies = group.limits.confirms_commits ? 2 : 1;
   return WitnessesNeeded(
-      others + 1, std::max(settings_.confirmation->copies(), min_copies));
+      others + 1,
+      std::max(settings_.confirmation->required_copies(), min_copies));
 }
 
 /// Returns the time up to which the group's primary is proved to have led.
@@ -82,7 +83,7 @@
 void Proxy::Impl::SettleProofs(TimePoint now, Group* group) {
   const TimePoint proved_until = ProvedUntil(*group);
   for (const Watermarks::Mark& mark : group->proof.TakeClaims(proved_until)) {
-    group->watermarks.NewTerm(group->proof.term());
+    group->watermarks.StartTerm(group->proof.term());
     group->watermarks.Record(mark.at, mark.position);
   }
   const std::vector<RequestId> waiting = group->unproved_reads;
--- a/src/libcore/session/proxy_replies.cc
+++ b/src/libcore/session/proxy_replies.cc
@@ -26,7 +26,7 @@
   if (connection == nullptr) return;
   DatabaseState* database = FindDatabase(connection->database);
   if (connection->pending_calls.empty()) {
-    Event(events_, EventWeight::kState, "unasked_answer")
+    Event(events_, EventPriority::kState, "unasked_answer")
         .Add("database", connection->database);
     ConnectionLost(now, id);
     port_->CloseConnection(id);
@@ -40,8 +40,8 @@
     database->applied_position =
         std::max(database->applied_position, *reply.position);
     const auto behind = EnsureGroup(database->info.group)
-                            ->watermarks.Behind(now, *reply.position);
-    if (behind.has_value()) database->lag.Observed(*behind);
+                            ->watermarks.LagBound(now, *reply.position);
+    if (behind.has_value()) database->lag.RecordLag(*behind);
     Group* group = EnsureGroup(database->info.group);
     ObserveTerm(now, group, database->info.id, reply.position->term);
     if (!group->unconfirmed_commits.empty()) SettleCommits(now, group);
@@ -162,7 +162,7 @@
       database->busy_until = now + kBusyBackoff;
       break;
     case ErrorCode::kLagging:
-      database->lag.Refused(now, call.position_age);
+      database->lag.RecordRejection(now, call.position_age);
       break;
     case ErrorCode::kReadOnly:
       MarkDeposed(now, group, database->info.id, "refused a call as replica");
@@ -185,7 +185,7 @@
     database->latency.Add(std::chrono::duration_cast<std::chrono::microseconds>(
         now - call.sent_at));
     if (call.position_age > milliseconds(0)) {
-      database->lag.Served(call.position_age);
+      database->lag.RecordServed(call.position_age);
     }
   }
   Request* request = FindRequest(call.request);
@@ -316,7 +316,7 @@
   }
   const std::deque<PendingCall> lost_calls = connection->pending_calls;
   const CallerId pinned_caller = connection->pinned_caller;
-  Event(events_, EventWeight::kState, "connection_lost")
+  Event(events_, EventPriority::kState, "connection_lost")
       .Add("database", connection->database)
       .Add("unanswered", lost_calls.size())
       .Add("in_transaction", pinned_caller);
--- a/src/libcore/session/watermarks.cc
+++ b/src/libcore/session/watermarks.cc
@@ -8,16 +8,16 @@
 
 using std::chrono::milliseconds;
 
-/// Marks closer together than this are merged: a replica's lag is tens of
-/// milliseconds, so a finer history would not let more replicas serve.
-constexpr milliseconds kSpacing{25};
-/// Longest history. Exceeds any staleness that routes allow in practice;
-/// a route that allows more is served by younger marks all the same.
-constexpr milliseconds kHistory{10000};
+/// Marks closer together than this are merged. The lag of a replica is tens of
+/// milliseconds, so a finer history would not let more replicas serve a read.
+constexpr milliseconds kMinMarkSpacing{25};
+/// Maximum length of the history. Exceeds the usual staleness limits of routes;
+/// a route with a higher limit is served by the marks that remain.
+constexpr milliseconds kMaxHistory{10000};
 
 }  // namespace
 
-void Watermarks::NewTerm(uint64_t term) {
+void Watermarks::StartTerm(uint64_t term) {
   if (term <= term_) return;
   term_ = term;
   marks_.clear();
@@ -34,15 +34,16 @@
   if (position.term < last.position.term) return;
   first_of_term_ = std::min(first_of_term_, position);
   if (sent <= last.at) return;
-  if (marks_.size() > 1 && sent - marks_[marks_.size() - 2].at < kSpacing) {
+  if (marks_.size() > 1 &&
+      sent - marks_[marks_.size() - 2].at < kMinMarkSpacing) {
     last = {sent, std::max(position, last.position)};
   } else {
     marks_.push_back({sent, std::max(position, last.position)});
   }
-  while (marks_.front().at < sent - kHistory) marks_.pop_front();
+  while (marks_.front().at < sent - kMaxHistory) marks_.pop_front();
 }
 
-std::optional<Watermarks::Mark> Watermarks::Covering(
+std::optional<Watermarks::Mark> Watermarks::OldestSince(
     TimePoint not_before) const {
   const auto found = std::lower_bound(
       marks_.begin(), marks_.end(), not_before,
@@ -51,7 +52,7 @@
   return *found;
 }
 
-std::optional<milliseconds> Watermarks::Behind(
+std::optional<milliseconds> Watermarks::LagBound(
     TimePoint now, const LogPosition& position) const {
   const auto beyond =
       std::upper_bound(marks_.begin(), marks_.end(), position,
@@ -62,7 +63,7 @@
   return std::chrono::duration_cast<milliseconds>(now - std::prev(beyond)->at);
 }
 
-LogPosition Watermarks::Current(const LogPosition& seen) const {
+LogPosition Watermarks::RequiredPosition(const LogPosition& seen) const {
   if (marks_.empty()) return seen;
   if (seen.term >= std::max(term_, marks_.back().position.term)) return seen;
   return first_of_term_;
