--- a/testsuite/session_connections/connections_test.cc
+++ b/testsuite/session_connections/connections_test.cc
@@ -38,8 +38,7 @@
       hosts_.push_back(std::make_unique<InstanceHost>(
           &clock_, &cluster_, this, "i" + std::to_string(i), domain, &fleet_));
     }
-    for (const auto& host : hosts_)
-      UpdateInstances(host.get(), fleet_.candidates);
+    for (const auto& host : hosts_) UpdateFleet(host.get(), fleet_.candidates);
     Run(milliseconds(500));
     for (CallerId caller = 0; caller < kCallers; ++caller) StartCaller(caller);
   }
@@ -92,7 +91,7 @@
     });
   }
 
-  void UpdateInstances(
+  void UpdateFleet(
       InstanceHost* host,
       const std::vector<core::session::KeeperCandidate>& instances) {
     host->proxy()->SetInstances(clock_.now(), host->name(), instances);
@@ -120,9 +119,9 @@
   void DivergeInstanceLists() {
     for (const auto& host : hosts_) {
       if (random_() % 2 > 0) continue;
-      UpdateInstances(host.get(), RandomPart());
+      UpdateFleet(host.get(), RandomPart());
       clock_.After(milliseconds(random_() % 1500), [this, host = host.get()] {
-        UpdateInstances(host, fleet_.candidates);
+        UpdateFleet(host, fleet_.candidates);
       });
     }
   }
