--- a/src/include/ryefold/core/admission/queue.h
+++ b/src/include/ryefold/core/admission/queue.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The queue in front of a group: strict order between priority classes, fair
-// shares of workspaces within one, early refusal.
+// Queue in front of a group: strict order between priority classes, weighted
+// fair shares of workspaces within a class, early refusal.
 
 #include <chrono>
 #include <cstdint>
@@ -18,89 +18,94 @@
 
 namespace ryefold::core::admission {
 
-/// One waiting request.
+/// One queued request.
 struct Ticket {
   uint64_t tag = 0;
   std::string workspace;
   TimePoint deadline;
   TimePoint enqueued;
-  /// Belongs to an open transaction: served before anything new, so that what
-  /// holds a connection is not starved by what waits for one.
+  /// True for a step of an open transaction. Such steps are served before all
+  /// other tickets, so that a transaction that holds a connection is not
+  /// starved by requests that wait for one.
   bool in_transaction = false;
 };
 
-/// Why a ticket was not taken, and when to come back.
+/// A refused ticket with the reason and the suggested retry delay.
 struct Refusal {
   uint64_t tag = 0;
   Reason reason = Reason::kOverloaded;
   std::chrono::milliseconds retry_after{0};
 };
 
-/// Deficit round robin over workspaces within strict classes. Owned by one
-/// keeper; not thread-safe.
+/// Deficit round robin over workspaces within strict priority classes. Each
+/// keeper owns its queue; not thread-safe.
 class Queue {
  public:
-  /// `seed` feeds the spread of the times at which refused callers are told
-  /// to come back.
+  /// `seed` initializes the jitter of the retry delays of refused callers.
   Queue(const std::vector<WorkspacePolicy>& workspaces, uint32_t limit,
         uint64_t seed = 0);
   ~Queue();
   Queue(const Queue&) = delete;
   Queue& operator=(const Queue&) = delete;
 
-  /// New weights, classes or limit; what waits stays.
+  /// Applies new weights, classes and limit. Queued tickets stay queued.
   void SetPolicies(const std::vector<WorkspacePolicy>& workspaces,
                    uint32_t limit);
 
-  /// Takes the ticket, or refuses it, or refuses ones of lower classes to make
-  /// room: everything refused is returned and was never sent. A ticket is
-  /// refused when, at the measured drain rate, what stands before it would
-  /// take longer than its deadline allows. A full queue makes room by refusing
-  /// the newest ticket of the lowest class's heaviest workspace. Tags are
-  /// unique among what waits.
+  /// Queues the ticket, refuses it, or refuses a queued one to make room.
+  /// Returns the refused tickets; none of them was sent.
+  ///
+  /// A ticket is refused when, at the measured drain rate, the tickets ahead of
+  /// it take longer than its deadline allows. A full queue makes room by
+  /// refusing the newest ticket of the most loaded workspace of the lowest
+  /// class. Tags must be unique among queued tickets.
   std::vector<Refusal> Push(TimePoint now, Ticket ticket);
 
-  /// Takes the next ticket for which `can_run` holds, in order. Tickets that
-  /// cannot run now (say, a write while there is no primary) are passed over
-  /// and keep their place; the cost is one call of `can_run` for each.
+  /// Removes and returns the first ticket, in service order, for which
+  /// `can_run` holds; nullopt if there is none. Tickets that cannot run (for
+  /// example a write while there is no primary) keep their place; each costs
+  /// one call of `can_run`.
   std::optional<Ticket> Pop(TimePoint now,
                             const std::function<bool(const Ticket&)>& can_run);
 
-  /// Removes and returns every ticket whose deadline has come, or that at the
-  /// present drain rate will not be served in time, with when to come back.
-  /// The latter are looked for every 20 ms at most, deadlines each time.
+  /// Refuses every ticket whose deadline has passed or that is not served in
+  /// time at the current drain rate. Deadlines are checked on each call, the
+  /// drain rate every 20 ms at most.
   std::vector<Refusal> Expire(TimePoint now);
 
-  /// Removes one ticket; false when it is not here.
+  /// Removes one ticket. Returns false if no ticket with this tag is queued.
   bool Remove(uint64_t tag);
 
-  /// Removes every ticket for which `drop` holds, as refused for `reason`.
+  /// Removes every ticket for which `drop` holds and returns them as refused
+  /// for `reason`.
   std::vector<Refusal> Drop(TimePoint now, Reason reason,
                             const std::function<bool(const Ticket&)>& drop);
 
-  /// Tells whether statements are running, whenever that changes. While none
-  /// is, what waits is not waiting for capacity (but, say, for a primary), and
-  /// the time does not count against the drain rate.
+  /// Must be called whenever the group starts or stops running statements.
+  /// While no statement runs, tickets wait for something other than capacity
+  /// (for example a primary), and the time does not lower the measured drain
+  /// rate.
   void SetWorking(TimePoint now, bool working);
 
-  /// Takes the rate at which tickets will be served from outside instead of
-  /// measuring it. A queue that is seldom filled for long cannot measure: after
-  /// a standstill it would go on refusing by the rate it saw then, since what
-  /// it refuses at once never shows how fast it would be served.
+  /// Replaces the measured drain rate by `per_second`. A queue that is rarely
+  /// filled for long cannot measure its rate: after a standstill it keeps
+  /// refusing by the low rate that it measured then, because refused tickets
+  /// are never served and so never raise the rate.
   void SetRate(double per_second);
 
-  /// Tells that one statement finished, for the measured drain rate.
+  /// Records a finished statement for the drain rate.
   void Finished(TimePoint now);
 
-  /// Time until a new ticket of this workspace would be served, by the
-  /// measured drain rate.
+  /// Returns the estimated time until a new ticket of this workspace is served,
+  /// at the measured drain rate.
   std::chrono::milliseconds expected_wait(TimePoint now,
                                           const std::string& workspace) const;
 
   size_t size() const;
-  /// Workspaces that have tickets waiting, for `ConnectionShares`.
+  /// Returns the workspaces that have queued tickets, for `ConnectionShares`.
   std::vector<std::string> waiting() const;
-  /// Earliest deadline of any ticket; the far future when there is none.
+  /// Returns the earliest deadline of all tickets, or `TimePoint::max()` if the
+  /// queue is empty.
   TimePoint next_deadline() const;
 
  private:
@@ -108,16 +113,16 @@
   std::unique_ptr<Impl> impl_;
 };
 
-/// Limits retries to a fraction of first tries, so that a failing group does
-/// not get more load than a healthy one.
+/// Limits retries to a fraction of first attempts, so that a failing group does
+/// not receive more load than a healthy one.
 class RetryBudget {
  public:
-  /// `ratio` retries are earned per first try, up to `burst` saved.
+  /// Each first attempt adds `ratio` retries to the budget, up to `burst`.
   RetryBudget(double ratio, double burst)
       : ratio_(ratio), burst_(burst), saved_(burst) {}
 
   void FirstTry();
-  /// Takes one retry; false when the budget is spent.
+  /// Consumes one retry. Returns false if the budget is exhausted.
   bool TakeRetry();
 
  private:
@@ -126,9 +131,9 @@
   double saved_;
 };
 
-/// How connections to one database are shared between workspaces: each may
-/// hold its share while others want theirs, and borrow what nobody wants. A
-/// workspace that the policies don't name has no share, it can only borrow.
+/// Divides the connections to one database between workspaces. Each workspace
+/// may hold its share while others wait for theirs, and may borrow unused
+/// shares. A workspace without a policy has no share and can only borrow.
 class ConnectionShares {
  public:
   ConnectionShares(const std::vector<WorkspacePolicy>& workspaces,
@@ -137,13 +142,13 @@
   void SetPolicies(const std::vector<WorkspacePolicy>& workspaces,
                    uint32_t usable);
 
-  /// Whether `workspace` may take one more connection now. `wanted` names the
-  /// workspaces that have requests waiting.
+  /// Returns true if `workspace` may take one more connection now.
+  /// `waiting_workspaces` lists the workspaces that have requests waiting.
   bool MayTake(const std::string& workspace,
                const std::vector<std::string>& wanted) const;
 
-  /// The same in constant time, by what `Want` and `Unwant` have told: one
-  /// call for each request that begins or ends to wait.
+  /// Same as above in constant time, based on `AddWaiting` and `RemoveWaiting`,
+  /// which must be called once for each request that starts or stops waiting.
   bool MayTake(const std::string& workspace) const;
   void Want(const std::string& workspace);
   void Unwant(const std::string& workspace);
@@ -161,7 +166,7 @@
     uint32_t unmet() const { return held < share ? share - held : 0; }
   };
   const Entry& Find(const std::string& workspace) const;
-  /// Applies `change` to the entry and keeps `reserved_` right.
+  /// Applies `change` to the entry and updates `reserved_`.
   template <class Change>
   void Apply(const std::string& workspace, Change change);
   bool Fits(const Entry& entry, uint32_t reserved) const;
@@ -169,7 +174,7 @@
   std::unordered_map<std::string, Entry> entries_;
   uint32_t usable_ = 0;
   uint32_t total_held_ = 0;
-  /// Shares not yet taken up of all workspaces that want connections.
+  /// Sum of the unused shares of all workspaces that wait for connections.
   uint32_t reserved_ = 0;
 };
 
--- a/src/include/ryefold/core/admission/return_plan.h
+++ b/src/include/ryefold/core/admission/return_plan.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// When refused callers are told to come back.
+// Retry delays for refused callers.
 
 #include <chrono>
 #include <optional>
@@ -10,17 +10,18 @@
 
 namespace ryefold::core::admission {
 
-/// Gives each refused caller a time of its own, so that they come back no
-/// faster than part of the drain rate. If all were told the same time, they
-/// would return as one crowd, be refused as one crowd, and keep a group
-/// saturated long after the cause is gone.
+/// Gives each refused caller its own retry time, so that callers return at no
+/// more than a fraction of the drain rate. With one common time they would
+/// return together, be refused together, and keep the group saturated long
+/// after the cause has ended.
 class ReturnPlan {
  public:
   explicit ReturnPlan(uint64_t seed) : random_(seed) {}
 
-  /// `rate` is what the caller's class gets served a second, `ahead` how many
-  /// wait before it. `promised` is the class's own: until when callers have
-  /// been told to come back.
+  /// Returns the delay after which the caller should retry. `rate` is the
+  /// number of requests per second served for the caller's class, `ahead` the
+  /// number of tickets ahead of it. `last_retry_at` holds the latest retry time
+  /// given to a caller of this class and is advanced.
   std::chrono::milliseconds Next(TimePoint now, std::optional<double> rate,
                                  double ahead, TimePoint* promised);
 
--- a/src/include/ryefold/core/admission/usual_demand.h
+++ b/src/include/ryefold/core/admission/usual_demand.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// How much each workspace asks for as a rule, as the weight of its share.
+// Typical request rate of each workspace, as the weight of its share.
 
 #include <cstdint>
 #include <string>
@@ -10,16 +10,16 @@
 
 namespace ryefold::core::admission {
 
-/// Counts that fade over half a minute. When a group runs short, equal shares
-/// would let a workspace of a few callers have all it wants while one of many
-/// is refused most of what it always sends; shares by usual demand refuse the
-/// same part of each: of 42,300 requests of a day on which one group of eight
-/// had no usable replica 524 were refused instead of 624. A sudden flood does
-/// not count for long enough to win a larger share.
+/// Request counts per workspace with exponential decay over 30 s. With equal
+/// shares, a group that is short of capacity serves all requests of a workspace
+/// with few callers and refuses most of one with many. Shares by typical demand
+/// refuse the same fraction of each: in a run of 42,300 requests in which one
+/// group of eight had no usable replica, 524 were refused instead of 624. A
+/// short burst is too brief to win a larger share.
 class UsualDemand {
  public:
   void Arrived(TimePoint now, const std::string& workspace);
-  /// Relative to the others; 1 at least.
+  /// Returns the weight relative to other workspaces, at least 1.
   uint32_t weight(TimePoint now, const std::string& workspace) const;
 
  private:
--- a/src/include/ryefold/core/entry/forwarder.h
+++ b/src/include/ryefold/core/entry/forwarder.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What an entry does with a caller's request: which instance keeps the group,
-// what to do when that instance refuses, vanishes or stays silent.
+// Forwards a caller's request from an entry to the instance that keeps the
+// group, and handles refusals, failures and timeouts of that instance.
 
 #include <cstdint>
 #include <functional>
@@ -33,13 +33,13 @@
   CallId call = 0;
   StatementAnswer answer = StatementAnswer::Unknown(Reason::kNone);
 };
-/// A keeper did not answer. `may_have_arrived` is false only when it cannot
-/// have seen the call.
+/// A call to a keeper failed. `may_have_arrived` is false only if the keeper
+/// cannot have received the call.
 struct PeerFailed {
   CallId call = 0;
   bool may_have_arrived = true;
 };
-/// An instance answered a probe. One that is not answered needs no event.
+/// An instance answered a probe. An unanswered probe needs no event.
 struct ProbeAnswered {
   std::string instance;
 };
@@ -63,12 +63,13 @@
   std::string instance;
   SettleRequest request;
 };
-/// Asks whether an instance that has not answered anything for a while is
-/// there at all.
+/// Checks whether an instance that has not answered any call for the contact
+/// timeout still responds.
 struct Probe {
   std::string instance;
 };
-/// Tells membership that an instance failed to answer, or answered.
+/// Reports to membership that an instance failed to answer, or that it answers
+/// again.
 struct Suspect {
   std::string instance;
 };
@@ -77,41 +78,44 @@
 };
 using Action = std::variant<Respond, Forward, Settle, Suspect, Trust, Probe>;
 
-/// Gives the instances that may keep a group, the intended one first; those
-/// suspected come last. Empty when none is known.
+/// Returns the instances that may keep a group, the intended keeper first and
+/// suspected instances last; empty if no instance is known.
 using Ranking = std::function<std::vector<std::string>(
     TimePoint now, const std::string& group)>;
 
 struct ForwarderTiming {
-  /// A keeper that holds a request and has answered nothing at all for this
-  /// long is probed.
+  /// A keeper that has an unanswered request and has not answered any call for
+  /// this long is probed.
   std::chrono::milliseconds patience{1000};
-  /// One that does not answer the probe within this time is doubted: the
-  /// outcome of a non-repeatable request is then settled through the next in
-  /// rank, a repeatable one is sent there.
+  /// An instance that does not answer the probe within this time is suspected.
+  /// A non-repeatable request is then settled through the next instance in
+  /// rank; a repeatable one is sent to that instance.
   std::chrono::milliseconds probe_patience{500};
-  /// Retries earned per first try, and how many may be saved up.
+  /// Retries added to the budget per first attempt, and the budget's maximum.
   double retry_ratio = 0.2;
   double retry_burst = 50;
-  /// First backoff before a retry, doubled with jitter each time.
+  /// Backoff before the first retry; doubled on each further retry, with
+  /// jitter.
   std::chrono::milliseconds backoff{20};
 };
 
-/// State machine of one entry, for all groups. Each request gets one answer,
-/// by its deadline at the latest:
+/// State machine of one entry, for all groups. Each request gets exactly one
+/// answer, at the latest at its deadline:
 ///
-/// - It goes to the first in rank, and on to the next, four at most, when it
-///   certainly did not arrive or the instance is leaving or not ready.
+/// - A request goes to the first instance in rank. If it certainly did not
+///   arrive, or the instance is leaving or not ready, it goes to the next one,
+///   four at most.
 /// - A copy that may have arrived and is not answered is followed by another
-///   one only if the request may be repeated. Otherwise the next in rank is
-///   asked to settle what became of it; from then on it is never sent again.
-///   A refused settle call is no outcome.
-/// - "Not run" is said only when no copy can have run.
+///   copy only if the request is repeatable. Otherwise the next instance in
+///   rank is called to settle the outcome, and the request is never sent again.
+///   A refused settle call is not an outcome.
+/// - "Not run" is returned only if no copy can have run.
 /// - Steps of a transaction go only to the instance that its id names.
-/// - Retries come out of a budget; when that is spent, the answer is at once.
+/// - Retries are taken from a budget; once it is exhausted, the request is
+///   answered at once.
 ///
-/// An answer "not run" speaks for this attempt of the caller, not for earlier
-/// ones with the same request id.
+/// "Not run" covers this attempt of the caller only, not earlier attempts with
+/// the same request id.
 ///
 /// Owned by one task.
 class Forwarder {
@@ -130,8 +134,8 @@
   std::unique_ptr<Impl> impl_;
 };
 
-/// Transaction ids name the instance that holds the connection, so that any
-/// entry can route them: "instance~number~nonce".
+/// Returns the instance that holds the transaction's connection. A transaction
+/// id names it, so that any entry can route the id: "instance~number~nonce".
 std::string TransactionKeeper(const std::string& transaction);
 
 }  // namespace ryefold::core::entry
--- a/src/libcore/admission/lines.cc
+++ b/src/libcore/admission/lines.cc
@@ -21,8 +21,8 @@
   Discount(line);
   line->tickets.erase(ticket);
   Count(line);
-  // A line that is empty loses its turn and what it had saved: shares are for
-  // those who want them, not for those who may come back.
+  // An empty queue loses its turn and its unused deficit: shares are for
+  // workspaces with queued tickets, not for those that may return.
   if (line->tickets.empty()) Leave(line);
 }
 
--- a/src/libcore/admission/lines.h
+++ b/src/libcore/admission/lines.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The waiting lines behind `Queue`: one per workspace, grouped by class.
+// Workspace queues behind `Queue`, grouped by priority class.
 
 #include <cstdint>
 #include <functional>
@@ -20,7 +20,7 @@
 
 class PriorityClass;
 
-/// Tickets of one workspace, oldest first. Lives as long as it has some.
+/// Tickets of one workspace, oldest first. Exists only while it has tickets.
 struct Line {
   uint64_t id = 0;
   std::string workspace;
@@ -34,38 +34,40 @@
   double load() const { return static_cast<double>(tickets.size()) / weight; }
 };
 
-/// One class: deficit round robin over its lines that have tickets. Each turn
-/// of a line earns it its weight in units of the class's least weight, so
-/// large weights do not mean long bursts.
+/// One priority class: deficit round robin over its non-empty queues. Each turn
+/// adds a queue's weight divided by the smallest weight of the class, so that
+/// large weights do not cause long bursts.
 class PriorityClass {
  public:
   Tickets::iterator Add(Line* line, Ticket ticket);
   void Remove(Line* line, Tickets::iterator ticket);
 
-  /// Takes the next ticket that can run.
+  /// Removes and returns the next ticket that can run; nullopt if there is
+  /// none.
   std::optional<Ticket> Take(const CanRun& can_run);
 
-  /// Tickets of this class that may be served before the `ordinal`-th ticket
-  /// (from 1) of a line of this weight; an upper bound in constant time.
-  /// `active` says that the line has tickets already.
+  /// Returns an upper bound, in constant time, on the tickets of this class
+  /// served before the `ordinal`-th ticket (from 1) of a queue of this weight.
+  /// `active` is true if the queue already has tickets.
   double Ahead(double weight, size_t ordinal, bool active) const;
 
-  /// The line with the most tickets for its weight; null when all are empty.
+  /// Returns the queue with the most tickets relative to its weight; null if
+  /// the class is empty.
   Line* heaviest() const;
 
-  /// Takes the line out or in with all its tickets, to be served in another
-  /// class or with another weight.
+  /// Detaches or attaches a queue with all its tickets, to move it to another
+  /// class or to change its weight.
   void Leave(Line* line);
   void Join(Line* line);
 
   size_t size() const { return size_; }
   const std::list<Line*>& lines() const { return ring_; }
 
-  /// Tickets of open transactions, served before those of any line.
+  /// Tickets of open transactions, served before all workspace queues.
   Tickets transactions;
   double least_weight = 1;
   ArrivalRate arrivals;
-  /// Until when callers that were refused have been told to come back.
+  /// Latest retry time given to a refused caller of this class.
   TimePoint promised;
 
  private:
--- a/src/libcore/admission/queue_estimate.cc
+++ b/src/libcore/admission/queue_estimate.cc
@@ -1,4 +1,4 @@
-// How long tickets have to wait, and which of them are given up for it.
+// Estimates of queue wait, and the refusals that follow from them.
 
 #include <algorithm>
 
@@ -9,20 +9,21 @@
 
 using std::chrono::milliseconds;
 
-/// Part of the time left that may pass in the queue; the rest is for running.
-/// Without it an overloaded group would serve every ticket just as its
-/// deadline passes, and its callers would get no answer from all that work.
+/// Fraction of the remaining time that a ticket may spend in the queue; the
+/// rest is for running it. Without this reserve an overloaded group would serve
+/// every ticket just as its deadline passes, and no caller would get an answer.
 constexpr double kQueuePart = 0.75;
-/// A tenth of a ticket's time is kept for running it once it is taken.
+/// One tenth of a ticket's total time is reserved for running it.
 constexpr int kRunFraction = 10;
-/// Least part of the drain rate that a class is taken to get.
+/// Minimum fraction of the drain rate assumed for any class.
 constexpr double kLeastPart = 0.02;
 
 double SecondsUntil(TimePoint now, TimePoint then) {
   return std::chrono::duration<double>(then - now).count();
 }
 
-/// Started later, a ticket would hardly be answered in time.
+/// Returns the latest time at which a ticket can start and still be answered in
+/// time.
 TimePoint LatestStart(const Ticket& ticket) {
   const auto allowed = ticket.deadline - ticket.enqueued;
   return ticket.deadline - allowed / kRunFraction;
@@ -73,9 +74,9 @@
   return drain.per_second();
 }
 
-/// What a class gets of a rate: the rate less what higher classes take of it.
-/// By the whole rate a low class would be told that it is nearly its turn for
-/// as long as the higher ones keep coming.
+/// Returns the part of `rate` left for a class after the arrivals of higher
+/// classes. By the whole rate, a low class would always appear to be nearly
+/// served while higher classes keep arriving.
 std::optional<double> Queue::Impl::PartOf(std::optional<double> rate,
                                           TimePoint now,
                                           uint32_t priority) const {
@@ -101,7 +102,8 @@
       std::chrono::duration<double>(seconds));
 }
 
-/// Why the ticket must be refused whatever room there is.
+/// Returns the reason to refuse the ticket regardless of free room; nullopt if
+/// there is none.
 std::optional<Reason> Queue::Impl::Judge(TimePoint now,
                                          const Ticket& ticket) const {
   if (ticket.deadline <= now) return Reason::kDeadline;
@@ -112,9 +114,9 @@
   return std::nullopt;
 }
 
-/// Tickets that will not be served in time, in no particular order. Steps of
-/// open transactions are spared: they are next, and giving one up would waste
-/// what its transaction has done.
+/// Returns the tickets that cannot be served in time, unordered. Steps of open
+/// transactions are excluded: they are served next, and refusing one would
+/// waste the work of its transaction.
 std::vector<uint64_t> Queue::Impl::LateTickets(TimePoint now) const {
   std::vector<uint64_t> late;
   for (const auto& [priority, members] : classes_) {
--- a/src/libcore/admission/queue_impl.cc
+++ b/src/libcore/admission/queue_impl.cc
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-/// How often tickets that will not be served in time are looked for.
+/// Interval between scans for tickets that cannot be served in time.
 constexpr milliseconds kSweepInterval{20};
 
 }  // namespace
@@ -70,9 +70,9 @@
   return Refuse(now, ticket, reason);
 }
 
-/// Tag of the waiting ticket that has to make room for `ticket`; nothing when
-/// all that waits comes before it. Within a class the heaviest workspace gives
-/// way, so that one with many requests cannot shut out the others.
+/// Returns the tag of the queued ticket to evict for `ticket`; nullopt if all
+/// queued tickets come before it. Within a class the most loaded workspace
+/// gives way, so that one with many requests cannot shut out the others.
 std::optional<uint64_t> Queue::Impl::Victim(const Ticket& ticket) const {
   const Standing standing = StandingOf(ticket.workspace);
   for (auto it = classes_.rbegin(); it != classes_.rend(); ++it) {
@@ -154,8 +154,8 @@
   return std::nullopt;
 }
 
-// A ticket past its deadline is left to `Expire`: running it would spend
-// capacity on an answer that nobody waits for.
+// `Expire` handles tickets past their deadline: running one would spend
+// capacity on an answer that no caller waits for.
 std::optional<Ticket> Queue::Impl::Pop(TimePoint now, const CanRun& can_run) {
   Advance(now);
   auto taken = Take([now, &can_run](const Ticket& ticket) {
--- a/src/libcore/admission/queue_impl.h
+++ b/src/libcore/admission/queue_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// State behind `Queue`.
+// Implementation of `Queue`.
 
 #include <chrono>
 #include <limits>
@@ -19,7 +19,7 @@
 
 namespace ryefold::core::admission {
 
-/// Class of workspaces that no policy names: after all others.
+/// Class of workspaces without a policy: lowest priority.
 inline constexpr uint32_t kLastClass = std::numeric_limits<uint32_t>::max();
 
 class Queue::Impl {
@@ -57,7 +57,7 @@
     double weight = 1;
   };
 
-  /// Where a workspace's next ticket would stand.
+  /// Position at which a new ticket of a workspace would be inserted.
   struct Standing {
     uint32_t priority = kLastClass;
     double weight = 1;
@@ -94,15 +94,15 @@
   std::unordered_map<uint64_t, Place> places_;
   std::set<std::pair<TimePoint, uint64_t>> deadlines_;
   size_t transactions_ = 0;
-  /// At present, for how long tickets have to wait.
-  /// Until told otherwise, whatever waits is taken to wait for capacity.
+  /// Until `SetStatementsRunning` is called, queued tickets are assumed to wait
+  /// for capacity.
   bool working_ = true;
   DrainRate drain_;
-  /// Given by `SetRate`; goes before what is measured.
+  /// Set by `SetDrainRate`; overrides the measured rate.
   std::optional<double> given_rate_;
-  /// As a rule, for when refused callers come back. By the present rate, those
-  /// refused while nothing is served would be told to stay away for long, and
-  /// the group would stand half idle once it is up again.
+  /// Typical rate, used for retry delays. By the current rate, callers refused
+  /// while nothing is served would get long delays, and the group would be half
+  /// idle after its recovery.
   UsualRate usual_;
   ReturnPlan plan_;
   TimePoint next_sweep_ = TimePoint::min();
--- a/src/libcore/admission/rates.cc
+++ b/src/libcore/admission/rates.cc
@@ -7,15 +7,16 @@
 namespace ryefold::core::admission {
 namespace {
 
-/// Time over which a measurement fades to a third.
+/// Decay time constant: a measurement falls to 1/e after this time.
 constexpr double kMemorySeconds = 1.0;
-/// What has to be seen before the drain rate means anything.
+/// Minimum number of finished statements or busy time for a valid drain rate.
 constexpr uint64_t kLeastFinished = 10;
 constexpr double kLeastBusySeconds = 0.5;
-/// Longest pause that counts for the usual rate, and pauses it is taken over.
+/// Cap of one interval in the typical rate, and the number of intervals in its
+/// mean.
 constexpr double kLongestPause = 0.2;
 constexpr uint64_t kPauses = 1000;
-/// Lowest rate told, so that a time worked out from it stays finite.
+/// Minimum reported rate, so that wait times computed from it stay finite.
 constexpr double kLeastRate = 0.1;
 
 double SecondsBetween(TimePoint from, TimePoint to) {
--- a/src/libcore/admission/rates.h
+++ b/src/libcore/admission/rates.h
@@ -1,7 +1,6 @@
 #pragma once
 
-// Measured rates: how fast a busy group finishes statements and how fast
-// tickets arrive.
+// Measured rates: statements finished by a busy group, and ticket arrivals.
 
 #include <cstdint>
 #include <optional>
@@ -10,16 +9,17 @@
 
 namespace ryefold::core::admission {
 
-/// Statements a group finishes a second while there is work waiting. Time
-/// without waiting work does not count: then the rate would only tell how
-/// little was asked for, and a burst after a quiet hour would be refused.
+/// Statements that a group finishes per second while tickets are queued. Time
+/// with an empty queue does not count: it would measure the demand instead of
+/// the capacity, and a burst after an idle hour would be refused.
 class DrainRate {
  public:
-  /// Time has passed until `now`, with work waiting or not.
+  /// Advances the measurement to `now`. `busy` is true if tickets were queued
+  /// in the meantime.
   void Advance(TimePoint now, bool busy);
-  /// One statement finished while work was waiting.
+  /// Records a statement that finished while tickets were queued.
   void Finished();
-  /// Statements a second; nothing as long as too little was seen.
+  /// Returns statements per second; nullopt if there are too few measurements.
   std::optional<double> per_second() const;
 
  private:
@@ -30,12 +30,13 @@
   double busy_seconds_ = 0;
 };
 
-/// Statements a group finishes a second as a rule, from the pauses between
-/// those that finish while work is waiting. A time in which nothing finishes
-/// counts for little, so that an outage does not pass for slowness.
+/// Typical number of statements that a group finishes per second, from the
+/// intervals between statements that finish while tickets are queued. A period
+/// in which nothing finishes has little weight, so that an outage does not
+/// appear as low capacity.
 class UsualRate {
  public:
-  /// One statement finished; `busy` says whether work was waiting.
+  /// Records a finished statement; `busy` is true if tickets were queued.
   void Finished(TimePoint now, bool busy);
   std::optional<double> per_second() const;
 
@@ -45,7 +46,7 @@
   double mean_seconds_ = 0;
 };
 
-/// Arrivals a second.
+/// Arrivals per second, with exponential decay.
 class ArrivalRate {
  public:
   void Add(TimePoint now);
--- a/src/libcore/admission/return_plan.cc
+++ b/src/libcore/admission/return_plan.cc
@@ -7,12 +7,12 @@
 
 using std::chrono::milliseconds;
 
-/// Part of the drain rate that callers who come back may take up; the rest is
-/// left to new ones.
+/// Fraction of the drain rate for returning callers; the rest is left to new
+/// ones.
 constexpr double kReturnShare = 0.5;
 constexpr milliseconds kSoonest{20};
 constexpr milliseconds kLatest{10000};
-/// Told while the drain rate is not known yet.
+/// Range of the delay while the drain rate is unknown.
 constexpr milliseconds kUnmeasuredLow{50};
 constexpr milliseconds kUnmeasuredHigh{150};
 
--- a/src/libcore/admission/shares.cc
+++ b/src/libcore/admission/shares.cc
@@ -43,8 +43,8 @@
   if (!used) entries_.erase(workspace);
 }
 
-/// Within its share a workspace takes any free connection. Beyond it, it
-/// borrows only what the unmet shares of the others leave over.
+/// Within its share a workspace takes any free connection. Beyond its share it
+/// borrows only connections that are not reserved for other workspaces.
 bool ConnectionShares::Fits(const Entry& entry, uint32_t reserved) const {
   if (total_held_ >= usable_) return false;
   if (entry.unmet() > 0) return true;
@@ -60,8 +60,8 @@
   return Fits(Find(workspace), reserved);
 }
 
-// A workspace beyond its share has nothing unmet, so `reserved_` holds only
-// what others want.
+// A workspace that has used up its share adds nothing to `reserved_`, so
+// `reserved_` covers only other workspaces.
 bool ConnectionShares::MayTake(const std::string& workspace) const {
   return Fits(Find(workspace), reserved_);
 }
--- a/src/libcore/admission/usual_demand.cc
+++ b/src/libcore/admission/usual_demand.cc
@@ -7,14 +7,14 @@
 namespace ryefold::core::admission {
 namespace {
 
-/// Time in which a count fades to a third. Longer than a burst of some seconds
-/// and than the pauses between callers of a small workspace, short enough to
-/// follow the day.
+/// Decay time constant. Longer than bursts of a few seconds and than the pauses
+/// between requests of a small workspace, short enough to follow changes over a
+/// day.
 constexpr double kFadeSeconds = 30;
-/// Weights are told in parts of this many of all that arrives.
+/// Weights are fractions of all arrivals in units of 1/kWeightScale.
 constexpr double kParts = 100;
-/// Least part of a workspace, in `kParts`: one that has just come is not known
-/// yet, and must not be refused everything for it.
+/// Minimum weight. Without it all requests of a new workspace, whose demand is
+/// not measured yet, would be refused.
 constexpr double kLeastPart = 5;
 
 }  // namespace
--- a/src/libcore/entry/backoff.h
+++ b/src/libcore/entry/backoff.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Pauses before retries and times to come back, both with jitter.
+// Backoff before retries and retry delays for callers, both with jitter.
 
 #include <algorithm>
 #include <chrono>
@@ -9,19 +9,19 @@
 
 namespace ryefold::core::entry {
 
-/// Doubles the pause with each round. The jitter keeps requests that failed
+/// Doubles the delay on each round. The jitter keeps requests that failed
 /// together from being retried together.
 class Backoff {
  public:
   Backoff(std::chrono::milliseconds first, uint64_t seed)
       : first_(first), random_(seed) {}
 
-  /// Pause before the retry of this round, from 0.
+  /// Returns the delay before the retry of this round, from 0.
   std::chrono::milliseconds Pause(uint32_t round) {
     return Spread(first_ * (1 << std::min(round, kMostDoublings)));
   }
 
-  /// What a caller is told that is given up here.
+  /// Returns the retry delay for the caller of a request that is given up.
   std::chrono::milliseconds RetryAfter() { return Spread(first_ * kReturn); }
 
  private:
--- a/src/libcore/entry/forwarder_events.cc
+++ b/src/libcore/entry/forwarder_events.cc
@@ -1,25 +1,25 @@
-// What the forwarder does about events.
+// Event handling of the forwarder.
 
 #include "forwarder_impl.h"
 
 namespace ryefold::core::entry {
 namespace {
 
-/// Copies of one request that may be lost before it is given up. A request
-/// that makes whoever handles it fail would otherwise be carried from keeper to
-/// keeper, and each failure takes the requests of others with it.
+/// Maximum number of lost copies of one request. A request that crashes its
+/// keeper would otherwise be sent from keeper to keeper, and each crash fails
+/// the requests of other callers.
 constexpr uint32_t kMaxLosses = 3;
 
-/// The instance did not take the call on, and another one may: it is leaving,
-/// or does not know yet what is in force.
+/// Returns true if the instance did not accept the call and another one may:
+/// the instance is leaving or does not have the current configuration yet.
 bool TurnsAway(const StatementAnswer& answer) {
   return answer.reason() == Reason::kShuttingDown ||
          answer.reason() == Reason::kNotReady ||
          answer.reason() == Reason::kUnknownGroup;
 }
 
-/// The answer to a settle call tells the outcome for good. Other reasons for
-/// "not run" say that the settle call itself was not carried out.
+/// Returns true if the answer to a settle call is a final outcome. Other
+/// reasons for "not run" mean that the settle call itself was not carried out.
 bool Settles(const StatementAnswer& answer) {
   if (answer.kind() == OutcomeKind::kDone) return true;
   return answer.kind() == OutcomeKind::kNotRun &&
@@ -69,7 +69,7 @@
 
 void Forwarder::Impl::On(const PeerAnswered& event) {
   const auto found = calls_.find(event.call);
-  // An answer to a call that was given up: its request has had its own.
+  // The call was abandoned and its request is already answered.
   if (found == calls_.end()) return;
   const Call call = found->second;
   calls_.erase(found);
@@ -100,13 +100,14 @@
     }
     return;
   }
-  // "Not run" speaks for this copy only. Another one may still run.
+  // "Not run" covers this copy only; another copy may still run.
   const bool others = !pending->open.empty() || pending->lost;
   if (settling) {
     if (!others) Finish(pending, answer);
     return;
   }
-  // An older copy is out of the way; the one sent since goes on.
+  // A refusal of an older copy does not end the request; the newer copy goes
+  // on.
   if (!latest && !pending->open.empty()) return;
   if (TurnsAway(answer) && !pending->in_transaction()) {
     SendNext(pending);
@@ -124,7 +125,7 @@
     Finish(pending, answer);
     return;
   }
-  // The next settle call is under way or planned already.
+  // The next settle call is already in flight or scheduled.
   if (!latest) return;
   pending->watched = 0;
   if (TurnsAway(answer)) {
@@ -157,7 +158,7 @@
 
 void Forwarder::Impl::On(const ProbeAnswered& event) { Heard(event.instance); }
 
-/// A copy certainly did not arrive.
+/// Handles a copy that certainly did not arrive.
 void Forwarder::Impl::NeverArrived(Pending* pending) {
   if (pending->phase == Phase::kSettling) {
     Reschedule(pending);
@@ -171,8 +172,8 @@
     }
     return;
   }
-  // Only the instance that holds the transaction can take the step. One more
-  // try, in case just the connection to it was gone.
+  // Only the instance that holds the transaction can run the step. The step is
+  // retried once, because the failure may affect only the connection.
   if (pending->rounds == 0 && PlanRetry(pending)) return;
   if (pending->commits()) {
     // An earlier attempt of the caller may have sent this commit.
@@ -182,7 +183,7 @@
   }
 }
 
-/// A copy may have arrived and will not be answered.
+/// Handles a copy that may have arrived and will not be answered.
 void Forwarder::Impl::MayBeLost(Pending* pending) {
   const bool waits_elsewhere = pending->phase == Phase::kSettling ||
                                !pending->open.empty() ||
@@ -194,13 +195,13 @@
   FindOut(pending);
 }
 
-/// The instance that holds the watched copy has not answered anything for
-/// the time of patience.
+/// Handles an instance that holds the watched copy and has not answered any
+/// call within the contact and probe timeouts.
 void Forwarder::Impl::FellSilent(Pending* pending) {
   const bool step_inside = pending->in_transaction() && !pending->commits();
   const bool read = pending->request.kind == StatementKind::kRead;
   const bool repeatable = pending->request.repeatable;
-  // Nobody else can serve or settle these; the answer may still come.
+  // No other instance can serve or settle these; the answer may still arrive.
   if (step_inside || (read && !repeatable && !pending->commits())) {
     Reschedule(pending);
     return;
@@ -208,7 +209,8 @@
   FindOut(pending);
 }
 
-/// Nobody is expected to answer the copies sent so far.
+/// Settles, retries or ends a request whose copies are not expected to be
+/// answered.
 void Forwarder::Impl::FindOut(Pending* pending) {
   const StatementRequest& request = pending->request;
   const bool recorded =
--- a/src/libcore/entry/forwarder_impl.h
+++ b/src/libcore/entry/forwarder_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// State behind `Forwarder`.
+// Implementation of `Forwarder`.
 
 #include <chrono>
 #include <cstdint>
@@ -18,38 +18,38 @@
 
 namespace ryefold::core::entry {
 
-/// What is being done about a request.
+/// Processing phase of a request.
 enum class Phase : uint8_t {
-  kForwarding,  ///< Getting it to an instance that serves it.
-  kSettling,    ///< Finding out what became of it; it is not sent again.
+  kForwarding,  ///< The request is being sent to an instance that serves it.
+  kSettling,  ///< The outcome is being settled; the request is not sent again.
 };
 
-/// One request from its arrival to its answer.
+/// One request in progress.
 struct Pending {
   RequestTag tag = 0;
   StatementRequest request;
   Phase phase = Phase::kForwarding;
-  /// Forwarded copies that are not answered yet.
+  /// Forwarded copies without an answer.
   std::set<CallId> open;
-  /// A copy may have arrived and nobody will tell what became of it.
+  /// True if a copy may have arrived and its outcome will not be reported.
   bool lost = false;
-  /// Settle calls that are not answered yet.
+  /// Settle calls without an answer.
   std::set<CallId> settles;
-  /// The call looked at for silence: the last copy, or the last settle call.
+  /// Call monitored for timeouts: the last copy, or the last settle call.
   CallId watched = 0;
-  /// Instances tried since the ranking was last walked from its start.
+  /// Instances tried since the last start from the top of the ranking.
   std::vector<std::string> tried;
   uint32_t rounds = 0;
-  /// Copies that were lost with the instance that held them.
+  /// Number of copies lost because their instance failed.
   uint32_t losses = 0;
-  /// When to send or settle again; the far future when not planned.
+  /// Time of the next retry; `TimePoint::max()` if none is scheduled.
   TimePoint retry_at = TimePoint::max();
-  /// When this request has to be looked at.
+  /// Time of the next check of this request.
   TimePoint due = TimePoint::max();
 
   bool in_transaction() const { return !request.transaction.empty(); }
   bool commits() const { return request.step == Step::kCommit; }
-  /// Whether no copy of it can have run, nor can any still do so.
+  /// Returns true if no copy has run or can still run.
   bool surely_not_run() const {
     return phase == Phase::kForwarding && open.empty() && !lost;
   }
@@ -97,7 +97,7 @@
   void FellSilent(Pending* pending);
   void FindOut(Pending* pending);
 
-  // Time.
+  // Timers.
   void LookAt(Pending* pending);
   void Reschedule(Pending* pending);
 
@@ -119,7 +119,7 @@
   std::unordered_map<CallId, Call> calls_;
   std::set<std::pair<TimePoint, RequestTag>> due_;
   CallId next_call_ = 1;
-  /// Of the event being handled.
+  /// Time of the event being handled.
   TimePoint now_;
   std::vector<Action>* actions_ = nullptr;
 };
--- a/src/libcore/entry/forwarder_sending.cc
+++ b/src/libcore/entry/forwarder_sending.cc
@@ -1,4 +1,4 @@
-// How the forwarder sends, retries and answers.
+// Sending, retries and answers of the forwarder.
 
 #include <algorithm>
 
@@ -7,14 +7,15 @@
 namespace ryefold::core::entry {
 namespace {
 
-/// How far down the ranking a request is taken. Instances below would only
-/// point back up, and asking all of a large fleet would be a storm.
+/// Number of instances in rank that a request is sent to at most. Instances
+/// further down would only redirect to higher ones, and trying a whole large
+/// fleet would multiply the load.
 constexpr size_t kRankDepth = 4;
 
 }  // namespace
 
-/// The next in rank that was not tried in this walk; a transaction's steps go
-/// only to the instance that holds its connection.
+/// Returns the next untried instance in rank; nullopt if there is none. Steps
+/// of a transaction go only to the instance that holds its connection.
 std::optional<std::string> Forwarder::Impl::NextTarget(Pending* pending) const {
   if (pending->in_transaction() && pending->phase == Phase::kForwarding) {
     return TransactionKeeper(pending->request.transaction);
@@ -60,8 +61,9 @@
   Reschedule(pending);
 }
 
-/// Everybody in reach was asked. Unless none is known at all, the walk starts
-/// again after a pause, out of the retry budget.
+/// All instances in reach have been tried. Unless no instance is known, starts
+/// again from the top of the ranking after a backoff, charged to the retry
+/// budget.
 void Forwarder::Impl::EndOfWalk(Pending* pending) {
   if (pending->tried.empty()) {
     GiveUp(pending, Reason::kNotReady);
@@ -71,7 +73,7 @@
   RetryLater(pending, Reason::kNotReady);
 }
 
-/// Plans the next try out of the retry budget; false when that is spent.
+/// Schedules the next retry. Returns false if the retry budget is exhausted.
 bool Forwarder::Impl::PlanRetry(Pending* pending) {
   if (!budget_.TakeRetry()) return false;
   pending->watched = 0;
@@ -84,8 +86,8 @@
   if (!PlanRetry(pending)) GiveUp(pending, reason);
 }
 
-/// From here on the request is not sent any more: the settle call fences its
-/// id, or finds the record of its run.
+/// From here on the request is not sent again: the settle call fences its id,
+/// or finds the record of its run.
 void Forwarder::Impl::BeginSettling(Pending* pending) {
   pending->phase = Phase::kSettling;
   SendNext(pending);
@@ -112,7 +114,8 @@
   Finish(pending, StatementAnswer::Unknown(reason));
 }
 
-/// The only place where "not run" is said without having been told so.
+/// The only place that answers "not run" without such an answer from an
+/// instance.
 void Forwarder::Impl::GiveUp(Pending* pending, Reason reason) {
   if (pending->surely_not_run()) {
     Finish(pending, StatementAnswer::NotRun(NotRunProof::NeverSent(), reason,
--- a/src/libcore/entry/hearing.cc
+++ b/src/libcore/entry/hearing.cc
@@ -5,8 +5,8 @@
 namespace ryefold::core::entry {
 namespace {
 
-/// Records kept at most. Instances come and go all day; forgetting one only
-/// means that its next call is judged by itself.
+/// Maximum number of records. Instances are replaced all the time; a call to an
+/// instance without a record is judged by its own send time only.
 constexpr size_t kMaxRecords = 4096;
 
 }  // namespace
@@ -36,10 +36,11 @@
 
 Hearing::Verdict Hearing::Judge(TimePoint now, const std::string& instance,
                                 TimePoint sent) {
-  // A statement that runs for seconds on a quiet entry leaves nothing to hear,
-  // although its keeper is well. Doubted for that alone, the keeper's waiting
-  // writes were fenced and its callers told "not run". A probe is answered by
-  // the keeper's own task whatever its statements do; a frozen one is silent.
+  // A long statement on an otherwise idle entry causes no other answers,
+  // although its keeper is healthy. If the keeper were suspected for that
+  // alone, its queued writes would be fenced and answered "not run". The
+  // keeper's own task answers probes while statements run; a frozen keeper does
+  // not answer them.
   Record& record = records_[instance];
   const TimePoint silent_at = SilentAt(&record, sent);
   if (now < silent_at) return Verdict::kWait;
--- a/src/libcore/entry/hearing.h
+++ b/src/libcore/entry/hearing.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Which instances have been heard of lately, and which are suspected.
+// Failure detector of an entry: last contact and suspicion per instance.
 
 #include <chrono>
 #include <cstdint>
@@ -11,29 +11,29 @@
 
 namespace ryefold::core::entry {
 
-/// Silence is judged by all that an instance answers, not by one request: a
-/// statement that waits its turn or runs long says nothing about the instance
-/// as long as that goes on answering others. Judged one by one, a full queue
-/// would look like a dead keeper, and each waiting request would be doubled.
+/// Judges an instance by all its answers, not by a single request: a statement
+/// that is queued or runs long does not indicate a failure while the instance
+/// answers other calls. Judged per request, a long queue would look like a
+/// failed keeper, and each queued request would be sent twice.
 class Hearing {
  public:
   Hearing(std::chrono::milliseconds patience,
           std::chrono::milliseconds probe_patience)
       : patience_(patience), probe_patience_(probe_patience) {}
 
-  /// The instance answered; true when it had been suspected.
+  /// Records an answer. Returns true if the instance had been suspected.
   bool Heard(TimePoint now, const std::string& instance);
-  /// The instance failed or fell silent; true when this is worth telling, at
-  /// most once in the time of patience.
+  /// Records a failure or timeout. Returns true if it should be reported, at
+  /// most once per contact timeout.
   bool Failed(TimePoint now, const std::string& instance);
-  /// What to think of a call sent to it at `sent`.
+  /// State of an unanswered call.
   enum class Verdict : uint8_t {
-    kWait,   ///< Not silent for long, or a probe is under way.
-    kProbe,  ///< Silent for the time of patience: ask whether it is there.
-    kDoubt,  ///< Silent, and the probe was not answered either.
+    kWait,   ///< Contact is recent, or a probe is in flight.
+    kProbe,  ///< The contact timeout has passed; a probe must be sent.
+    kDoubt,  ///< The contact timeout has passed and the probe was not answered.
   };
   Verdict Judge(TimePoint now, const std::string& instance, TimePoint sent);
-  /// When to judge that call again.
+  /// Returns the time at which to evaluate that call again.
   TimePoint JudgeAt(const std::string& instance, TimePoint sent) const;
 
  private:
@@ -41,7 +41,7 @@
     TimePoint heard;
     bool suspected = false;
     TimePoint tell_again_at;
-    /// When the last probe has to be answered.
+    /// Deadline of the last probe.
     TimePoint probe_until;
   };
 
--- a/testsuite/admission_limits/limits_test.cc
+++ b/testsuite/admission_limits/limits_test.cc
@@ -25,8 +25,8 @@
   EXPECT_FALSE(shares.MayTake("b", {"a", "b"}));
 }
 
-// One workspace holds all connections and asks for more as each comes back.
-// Another wants its share: it must get what comes back next.
+// One workspace holds all connections and requests each one that is released. A
+// workspace that waits for its share must get the next released connection.
 TEST(ConnectionShares, WhatIsLentComesBackToItsOwner) {
   ConnectionShares shares({Policy("a", 2), Policy("b", 3)}, 5);
   for (int i = 0; i < 5; ++i) shares.Take("a");
@@ -42,8 +42,9 @@
   EXPECT_FALSE(shares.MayTake("stranger", {"a", "stranger"}));
 }
 
-// Both ways of asking agree; no more than there is is ever held; whoever wants
-// and is within its share is refused only when nothing is free.
+// Both overloads of CanAcquire agree; the total never exceeds the usable
+// connections; a waiting workspace within its share is refused only if no
+// connection is free.
 RC_GTEST_PROP(ConnectionShares, HoldsUnderRandomUse, ()) {
   constexpr uint32_t kUsable = 6;
   const std::vector<std::string> names = {"a", "b", "c", "stranger"};
@@ -84,9 +85,8 @@
   }
 }
 
-// A group fails for a while and every request to it fails. Retried without
-// limit, each would be sent again and again, and the group would get a
-// multiple of its usual load just when it comes back.
+// All requests to a failing group fail. Unlimited retries would multiply the
+// group's load at the moment it recovers.
 TEST(RetryBudget, RetriesStayAFractionOfFirstTries) {
   constexpr double kRatio = 0.2;
   constexpr double kBurst = 10;
--- a/testsuite/admission_overload/overload_test.cc
+++ b/testsuite/admission_overload/overload_test.cc
@@ -22,8 +22,8 @@
   return static_cast<double>(part) / static_cast<double>(whole);
 }
 
-// Twice as much is asked for as the group can serve. Gate scans are of the
-// highest class; a labourer at the gate must not notice.
+// The load is twice the capacity. The latency of the highest class must stay
+// close to its latency without other load.
 TEST(TwiceTheLoadTest, TheHighestClassIsServedAsIfAlone) {
   Overload alone(TwiceTheLoad(false));
   alone.Run();
@@ -36,9 +36,9 @@
             Percentile(alone.tally("gold").answered, 0.99) * 3);
 }
 
-// The lower classes cannot all be served. Those that are given up hear it when
-// they ask and are not run; those that are taken get their answer in time, so
-// the work done is not wasted.
+// Lower classes exceed the remaining capacity. Excess requests must be refused
+// on arrival and not run; accepted ones must be answered in time, so that no
+// work is wasted.
 TEST(TwiceTheLoadTest, LowerClassesAreRefusedEarlyAndServedInTime) {
   Overload crowded(TwiceTheLoad(true));
   crowded.Run();
@@ -77,9 +77,9 @@
   EXPECT_NEAR(Part(three, one + three), 0.75, 0.02);
 }
 
-// For three seconds nothing is served, then the cause is gone. All who were
-// refused come back. If they came as one crowd, they would be refused as one
-// crowd, and the group would look down long after it is up.
+// Nothing is served for three seconds, then the group recovers. If all refused
+// callers retried together, they would be refused together, and the group would
+// appear down long after its recovery.
 TEST(StormTest, ReturningCallersDoNotKeepTheGroupDown) {
   const Scenario scenario = Storm();
   Overload storm(scenario);
@@ -89,11 +89,11 @@
   const auto first =
       static_cast<double>(storm.in_time(up, up + milliseconds(1000)));
   EXPECT_GE(first, 0.9 * scenario.capacity());
-  // What was asked for meanwhile takes three seconds to make up for at best.
+  // The backlog of the stall takes at least three seconds to serve.
   EXPECT_LE(storm.backlog_done(), up + milliseconds(6000));
   EXPECT_LE(storm.last_refusal(), up + milliseconds(6000));
-  // Each refusal is a call that the instances have to carry: of those asked
-  // for in the stall, no more than three each.
+  // Each refusal costs a call: at most three refusals for each request of the
+  // stall.
   const double asked = 3 * 0.5 * scenario.capacity();
   const uint64_t refused =
       storm.tally("gold").refused + storm.tally("bronze").refused;
@@ -102,8 +102,8 @@
             scenario.slots);
 }
 
-// A workspace has borrowed all connections of a database. Another one begins
-// to want its share, and gets it as soon as the statements on them end.
+// One workspace has borrowed all connections of a database. Another one that
+// starts to wait must get its share as the running statements end.
 TEST(BorrowingTest, AnOwnerGetsItsShareWithinOneStatement) {
   constexpr uint32_t kUsable = 14;
   constexpr uint32_t kShare = 10;
--- a/testsuite/admission_overload/usual_demand_test.cc
+++ b/testsuite/admission_overload/usual_demand_test.cc
@@ -1,6 +1,6 @@
-// A group that has lost a third of its capacity, as when both replicas are too
-// far behind for any read, and two workspaces of one priority: many callers use
-// one, few the other.
+// Demand-weighted shares in a group that has lost a third of its capacity, as
+// when both replicas lag too far for any read, with two workspaces of one
+// priority: one with many callers, one with few.
 
 #include "ryefold/core/admission/usual_demand.h"
 
@@ -26,7 +26,7 @@
   return TimePoint(std::chrono::hours(1)) + span;
 }
 
-/// Statements at these rates from `from` to `until`.
+/// Records arrivals at these rates from `from` to `until`.
 void Send(UsualDemand* demand, milliseconds from, milliseconds until,
           double many, double few) {
   for (milliseconds at = from; at < until; at += milliseconds(1)) {
@@ -44,8 +44,8 @@
          static_cast<double>(tally.served + tally.refused);
 }
 
-/// Parts of both workspaces' requests that are served at one and a half times
-/// the capacity, under these weights.
+/// Returns the served fraction of both workspaces' requests at 1.5 times the
+/// capacity under these weights.
 std::pair<double, double> Served(uint32_t many, uint32_t few) {
   Scenario scenario;
   scenario.loads.push_back(LoadOf(scenario, "many", 1, many, 1.25));
@@ -55,8 +55,8 @@
   return {ServedPart(crowded.tally("many")), ServedPart(crowded.tally("few"))};
 }
 
-// With equal shares the callers of the small workspace notice nothing, and of
-// the large one's 40% are refused. Everybody's chance should be the same.
+// With equal shares no request of the small workspace is refused, but 40% of
+// the large one's are. Both must be served at the same rate.
 TEST(UsualDemandTest, CallersOfAllWorkspacesAreRefusedAlike) {
   const auto [many_before, few_before] = Served(1, 1);
   EXPECT_LT(many_before, 0.62);
@@ -72,9 +72,9 @@
   EXPECT_GT(many, 0.62);
 }
 
-// One workspace sends ten times what it always sends, for three seconds. The
-// other must be served as before, or one caller's mistake would be everybody's
-// outage.
+// One workspace sends ten times its usual rate for three seconds. It must not
+// gain a larger share, or a faulty caller would cause refusals for the other
+// workspace.
 TEST(UsualDemandTest, AFloodWinsNoLargerShare) {
   UsualDemand demand;
   Send(&demand, milliseconds(0), milliseconds(60000), kManyPerSecond,
@@ -86,8 +86,8 @@
   EXPECT_GT(after * 10, before * 8);
 }
 
-// A workspace that has just come has no past. Its first callers must not all
-// be refused while the group is short.
+// A new workspace has no recorded demand. It must still get a share, or all its
+// first requests would be refused while the group is short of capacity.
 TEST(UsualDemandTest, ANewWorkspaceHasAShare) {
   UsualDemand demand;
   Send(&demand, milliseconds(0), milliseconds(60000), kManyPerSecond,
--- a/testsuite/admission_queue/queue_test.cc
+++ b/testsuite/admission_queue/queue_test.cc
@@ -40,8 +40,8 @@
           Policy("bronze", 7, 2)};
 }
 
-// Finishes statements at a steady rate while something waits, so that the
-// drain rate is measured.
+// Finishes statements at a steady rate while a ticket is queued, so that the
+// queue measures the drain rate.
 int64_t Measure(Queue* queue, int64_t now, int64_t interval_ms) {
   queue->Push(At(now), TicketOf(1000000, "gold", now, now + 1000000));
   for (int i = 0; i < 200; ++i) {
@@ -52,7 +52,7 @@
   return now;
 }
 
-// What the queue is told and what it answers, with a plain model beside it.
+// Reference model of the queued tickets.
 struct Model {
   std::map<uint64_t, Ticket> waiting;
 
@@ -72,8 +72,8 @@
   return 1000;
 }
 
-// Every ticket leaves exactly once: popped, refused or removed. One that left
-// twice would run a statement whose caller was told that it was not run.
+// Every ticket leaves exactly once: popped, refused or removed. A ticket that
+// left twice would run a statement whose caller was answered "not run".
 RC_GTEST_PROP(Queue, EveryTicketLeavesOnceAndClassesAreStrict, ()) {
   constexpr uint32_t kLimit = 6;
   Queue queue(Mixed(), kLimit, 1);
@@ -142,8 +142,8 @@
   EXPECT_NEAR(served["c"], 500, 5);
 }
 
-// A workspace that asks for nothing for a while must not come back with a
-// claim to everything it did not use: the others would be shut out meanwhile.
+// A workspace that returns after an idle period must not claim the turns it did
+// not use, or the other workspaces would be shut out meanwhile.
 TEST(Queue, UnusedTurnsAreNotSavedUp) {
   Queue queue({Policy("a", 1), Policy("b", 1)}, 10000);
   uint64_t tag = 0;
@@ -171,8 +171,8 @@
   EXPECT_EQ(queue.Pop(At(1), Always)->tag, 1U);
 }
 
-// There is no primary: writes wait, reads behind them go on, and afterwards
-// the writes are served in their old order.
+// Without a primary, writes wait while reads behind them are served. Afterwards
+// the writes must be served in their original order.
 TEST(Queue, TicketsPassedOverKeepTheirPlace) {
   Queue queue(Mixed(), 10);
   for (uint64_t tag = 1; tag <= 6; ++tag) {
@@ -187,8 +187,8 @@
   EXPECT_FALSE(queue.Pop(At(1), even).has_value());
 }
 
-// Without the measured rate a caller with 200 ms left would wait for them in
-// vain behind two seconds of work, instead of being told at once.
+// Without the measured rate, a caller with 200 ms left would wait behind two
+// seconds of queued work instead of being refused at once.
 TEST(Queue, RefusesWhatWouldNotFinishInTime) {
   Queue queue({Policy("gold", 0)}, 10000);
   const int64_t now = Measure(&queue, 0, 10);
@@ -207,8 +207,8 @@
               2000, 200);
 }
 
-// A burst after a quiet hour: the few statements of that hour say nothing
-// about how fast the group could be.
+// The few statements of an idle hour do not measure the capacity of the group;
+// a burst after it must be accepted.
 TEST(Queue, ABurstAfterAQuietTimeIsTaken) {
   Queue queue({Policy("gold", 0)}, 10000);
   uint64_t tag = 0;
@@ -225,9 +225,9 @@
   }
 }
 
-// Statements that find a free slot finish without anything waiting. Counted
-// against no busy time, they would make the group look endlessly fast, and
-// nothing would be refused when it is not.
+// Statements that find a free slot finish while nothing is queued. If they
+// counted without busy time, the measured rate would be unbounded, and nothing
+// would be refused under overload.
 TEST(Queue, StatementsThatNeverWaitedTellNothing) {
   Queue queue({Policy("gold", 0)}, 10000);
   for (int64_t ms = 0; ms < 10000; ++ms) queue.Finished(At(ms));
@@ -238,10 +238,11 @@
   EXPECT_GT(queue.expected_wait(At(now), "gold"), milliseconds(800));
 }
 
-// Reads wait a moment for the primary's term to be confirmed while all slots
-// are free; the next one comes as soon as they are answered. Nothing finishes
-// while they wait. Taken for a group that has nearly stopped, that refuses
-// callers with seconds left, although nobody waits for capacity.
+// Reads wait briefly for the confirmation of the primary's term while all slots
+// are free, and new reads arrive as soon as they are answered. Nothing finishes
+// in that time. If it counted as busy time, the drain rate would fall to nearly
+// zero, and callers with seconds left would be refused although capacity is
+// free.
 TEST(Queue, WaitingWithoutAnythingRunningTellsNothing) {
   Queue queue({Policy("gold", 0)}, 10000);
   uint64_t tag = 1;
@@ -252,7 +253,7 @@
           queue.Push(At(ms), TicketOf(tag++, "gold", ms, ms + 1000));
       ASSERT_TRUE(refused.empty()) << "after " << ms << " ms";
     }
-    // Confirmed after half a millisecond, running for the other half.
+    // Confirmed after 0.5 ms, running for the other 0.5 ms.
     const TimePoint confirmed = At(ms) + std::chrono::microseconds(500);
     while (queue.Pop(confirmed, [](const Ticket&) { return true; })) {
     }
@@ -261,9 +262,9 @@
   }
 }
 
-// Higher classes use most of what the group can do. Told by the whole drain
-// rate, a low class would always seem to be nearly served, and its callers
-// would be held until their deadlines.
+// Higher classes use most of the capacity. By the whole drain rate, a low class
+// would always appear to be nearly served, and its callers would wait until
+// their deadlines.
 TEST(Queue, LowClassesAreJudgedByWhatIsLeftForThem) {
   Queue queue({Policy("gold", 0), Policy("bronze", 5)}, 10000);
   int64_t now = Measure(&queue, 0, 10);
@@ -292,8 +293,8 @@
   EXPECT_EQ(refused[0].tag, 5U);
 }
 
-// One workspace floods the group. Those of its class that ask for little must
-// still get in.
+// One workspace fills the queue. A workspace of the same class with few
+// requests must still be accepted.
 TEST(Queue, AFloodingWorkspaceGivesWayWithinItsClass) {
   Queue queue({Policy("flood", 1), Policy("calm", 1)}, 100);
   uint64_t tag = 0;
@@ -306,8 +307,8 @@
   EXPECT_EQ(queue.size(), 100U);
 }
 
-// The group stops draining while tickets wait. They are told so once it is
-// plain that they won't be served, not when their deadline comes.
+// The group stops serving while tickets are queued. They must be refused as
+// soon as they cannot be served in time, not at their deadlines.
 TEST(Queue, ExpireGivesUpBeforeTheDeadlineWhenTheGroupStalls) {
   Queue queue({Policy("gold", 0)}, 10000);
   const int64_t now = Measure(&queue, 0, 10);
@@ -338,7 +339,8 @@
   EXPECT_EQ(queue.size(), 4U);
 }
 
-// Everybody refused at once: told the same time, all would be back at once.
+// All callers are refused at once. With one common delay all of them would
+// return at once.
 TEST(Queue, RefusedCallersComeBackSpreadOut) {
   Queue queue({Policy("gold", 0)}, 10000, 7);
   const int64_t now = Measure(&queue, 0, 10);
@@ -355,7 +357,7 @@
   }
 }
 
-// The same before the group's rate was ever measured, say on a new keeper.
+// Same as above before any rate is measured, as on a new keeper.
 TEST(Queue, RefusedCallersComeBackSpreadOutWithoutAMeasure) {
   Queue queue({Policy("gold", 0)}, 10000, 7);
   for (uint64_t tag = 1; tag <= 500; ++tag) {
@@ -368,7 +370,7 @@
   for (const auto& [time, callers] : per_10_ms) EXPECT_LE(callers, 100) << time;
 }
 
-// A keeper takes no time of arrival for granted.
+// A ticket without an arrival time must not appear to be late.
 TEST(Queue, ATicketWithoutTimeOfArrivalArrivesNow) {
   Queue queue({Policy("gold", 0)}, 10000);
   const int64_t now = Measure(&queue, 1000000, 10);
@@ -396,10 +398,10 @@
   EXPECT_EQ(queue.waiting(), std::vector<std::string>{"gold"});
 }
 
-// A short standstill makes a queue that measures its own rate believe that it
-// serves next to nothing. If it then refuses whatever cannot run at once, it
-// never sees how fast it would serve, and callers are turned away for as long
-// as the load stays. With a rate given from outside they are let in again.
+// After a short standstill, a queue that measures its own rate assumes a rate
+// near zero. If it then refuses every ticket that cannot run at once, it never
+// measures a higher rate and refuses callers for as long as the load lasts.
+// With an external rate it accepts them again.
 TEST(Queue, LetsCallersInAfterAStandstillWhenTheRateIsGiven) {
   Queue measured(Mixed(), 100);
   Queue given(Mixed(), 100);
--- a/testsuite/entry_faults/faults_test.cc
+++ b/testsuite/entry_faults/faults_test.cc
@@ -1,5 +1,5 @@
-// Random failures of peers between the forwarder and a small model of what
-// the instances and the database do with the calls.
+// Random peer failures between the forwarder and a small model of the instances
+// and the database.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -25,10 +25,11 @@
          (request.kind == StatementKind::kWrite && !request.repeatable);
 }
 
-/// What all databases together know of each request id.
+/// Records of all databases for each request id.
 class Books {
  public:
-  /// A copy reaches the database. Nothing when its id is fenced.
+  /// Runs a copy that reaches the database. Returns nullopt if its id is
+  /// fenced.
   std::optional<StatementAnswer> Run(const StatementRequest& request) {
     if (fenced_.contains(request.request_id)) return std::nullopt;
     int& runs = runs_[request.request_id];
@@ -54,8 +55,8 @@
   std::set<std::string> fenced_;
 };
 
-/// One call under way. It stays after it was answered, so that answers can
-/// come twice, late, or after a failure was reported.
+/// One call in flight. It is kept after its answer, so that answers can arrive
+/// twice, late, or after a reported failure.
 struct Under {
   CallId call = 0;
   bool settles = false;
@@ -111,7 +112,7 @@
   static ForwarderTiming Timing() {
     ForwarderTiming timing;
     timing.patience = milliseconds(300);
-    // Small, so that it is often spent in the middle of a request.
+    // Small, so that the budget is often exhausted in the middle of a request.
     timing.retry_burst = 3;
     return timing;
   }
@@ -187,7 +188,7 @@
     Handle(Tick{});
   }
 
-  // Something becomes of one call.
+  // Chooses a random event for one call in flight.
   void Meet() {
     // Often the last one, so that one request meets several failures.
     const size_t any = *rc::gen::inRange<size_t>(0, 2 * under_.size());
@@ -236,7 +237,7 @@
         Handle(PeerFailed{under.call, true});
         break;
       default:
-        // Frozen with the call in hand, and silent.
+        // The instance freezes with the call in hand and does not answer.
         copies_.push_back(under.request);
     }
   }
@@ -286,9 +287,9 @@
   std::vector<StatementRequest> copies_;
 };
 
-// Instances die, freeze with a call in hand and run it later, refuse, answer
-// late or twice. A caller that is told "not run" will enter the payment again;
-// one that gets no answer will, too.
+// Instances crash, freeze and run a call later, refuse, answer late or twice. A
+// caller repeats a request that was answered "not run" or not answered, so a
+// wrong answer can run a payment twice.
 RC_GTEST_PROP(ForwarderFaults, OneTruthfulAnswerInTimeForEachRequest, ()) {
   World world;
   const int steps = *rc::gen::inRange(1, 400);
--- a/testsuite/entry_forwarder/forwarder_test.cc
+++ b/testsuite/entry_forwarder/forwarder_test.cc
@@ -43,7 +43,7 @@
   return request;
 }
 
-// A forwarder before instances a, b and c, with the actions of each step.
+// Forwarder with instances a, b and c; collects the actions of each step.
 class ForwarderTest : public testing::Test {
  protected:
   ForwarderTest()
@@ -64,8 +64,7 @@
     forwarder_.Handle(At(ms), event, &actions_);
   }
 
-  // Lets time pass, stopping where the forwarder wants to be woken, until it
-  // does something.
+  // Advances time through the forwarder's deadlines until it emits an action.
   void Wait(int64_t until) {
     actions_.clear();
     while (actions_.empty() && forwarder_.next_deadline() <= At(until)) {
@@ -126,8 +125,8 @@
   EXPECT_NE(Find<Suspect>(), nullptr);
 }
 
-// The keeper dies with a payment in hand. Sent again, it could be charged
-// twice; so the next in rank is asked what became of it.
+// The keeper fails while it holds a write. Sent again, the write could run
+// twice, so the next instance in rank must settle its outcome.
 TEST_F(ForwarderTest, ALostWriteIsSettledThroughTheNext) {
   Handle(0, RequestArrived{1, Write(5000)});
   Handle(5, PeerFailed{1, /*may_have_arrived=*/true});
@@ -144,8 +143,8 @@
   EXPECT_EQ(Answer(), "done");
 }
 
-// The instance that was asked to settle is leaving and did nothing. Taken for
-// an outcome, its "not run" would be a lie about the payment.
+// The instance asked to settle is leaving and did nothing. Its "not run" must
+// not be taken as the outcome of the write.
 TEST_F(ForwarderTest, ARefusedSettleCallIsNoOutcome) {
   Handle(0, RequestArrived{1, Write(5000)});
   Handle(5, PeerFailed{1, true});
@@ -160,8 +159,8 @@
   EXPECT_EQ(Answer(), "unknown instance_lost");
 }
 
-// The instance asked to settle is leaving and knows nothing of the group any
-// more. The next one may know at once; a pause would only keep the caller.
+// The instance asked to settle is leaving and no longer has the group. The next
+// one may answer at once; a backoff would only delay the caller.
 TEST_F(ForwarderTest, ASettleCallTurnedAwayGoesToTheNextAtOnce) {
   Handle(0, RequestArrived{1, Write(5000)});
   Handle(5, PeerFailed{1, true});
@@ -169,14 +168,15 @@
   EXPECT_EQ(SettledThrough(), "c");
 }
 
-// A group was just published and the first in rank has not heard of it.
+// A group was just published and the first instance in rank has not received
+// it.
 TEST_F(ForwarderTest, AnInstanceThatDoesNotKnowTheGroupIsPassedOver) {
   Handle(0, RequestArrived{1, Write(5000)});
   Handle(1, PeerAnswered{1, NotRun(Reason::kUnknownGroup)});
   EXPECT_EQ(ForwardedTo(), "b");
 }
 
-// The keeper freezes. Its callers notice nothing but silence.
+// The keeper freezes; its calls time out without an error.
 TEST_F(ForwarderTest, ASilentKeeperIsDoubtedAfterPatience) {
   Handle(0, RequestArrived{1, Write(5000)});
   Wait(699);
@@ -198,9 +198,9 @@
   EXPECT_TRUE(actions_.empty());
 }
 
-// A statement runs for seconds and nothing else goes on at this entry. Doubted
-// for its silence, a keeper that is well would have the write fenced by the
-// next in rank, and the caller would be told that it did not run.
+// A statement runs for seconds on an otherwise idle entry. If its healthy
+// keeper were suspected for the missing answers, the next instance in rank
+// would fence the write, and the caller would be answered "not run".
 TEST_F(ForwarderTest, AKeeperThatAnswersProbesIsNotDoubted) {
   Handle(0, RequestArrived{1, Write(20000)});
   for (int probes = 0; probes < 10; ++probes) {
@@ -214,9 +214,9 @@
   EXPECT_EQ(Answer(), "done");
 }
 
-// The group is overloaded and its queue is longer than the patience. The
-// keeper answers others all the time: doubting it would settle, and thereby
-// fence, every write that waits its turn.
+// The wait in an overloaded group's queue exceeds the contact timeout while the
+// keeper answers other calls. Suspecting the keeper would settle, and thereby
+// fence, every queued write.
 TEST_F(ForwarderTest, AKeeperThatAnswersOthersIsNotDoubted) {
   Handle(0, RequestArrived{1, Write(5000)});
   for (int64_t ms = 500; ms <= 3000; ms += 500) {
@@ -248,9 +248,9 @@
   EXPECT_EQ(Answer(), "done");
 }
 
-// A request touches a defect and ends every keeper task that handles it. Sent
-// on until its deadline it would end one keeper after the other, and callers of
-// other groups would see their requests fail for no reason of theirs.
+// A request crashes every keeper task that handles it. Retried until its
+// deadline, it would crash one keeper after the other and fail requests of
+// other groups.
 TEST_F(ForwarderTest, ARequestThatKeepsLosingItsKeeperIsGivenUp) {
   Handle(0, RequestArrived{1, Read(60000)});
   int losses = 0;
@@ -270,8 +270,8 @@
   EXPECT_LT(now_, 1000);
 }
 
-// One copy was lost on the way back, the other is refused. The first may have
-// run, so nobody can say that the request did not.
+// One copy was lost, the other is refused. The lost copy may have run, so the
+// outcome is unknown.
 TEST_F(ForwarderTest, ARefusalDoesNotSpeakForALostCopy) {
   Handle(0, RequestArrived{1, Read(5000)});
   Handle(5, PeerFailed{1, true});
@@ -287,9 +287,9 @@
   EXPECT_EQ(Answer(), "unknown deadline");
 }
 
-// One copy was lost, the next certainly never sent, and the retry budget is
-// spent. Told "not run" for the sake of the second, the caller would repeat
-// what the first may have done.
+// One copy was lost, the next was certainly not sent, and the retry budget is
+// exhausted. If the answer were "not run" because of the second copy, the
+// caller would repeat a request that the first copy may have run.
 TEST_F(ForwarderTest, AnUnsentCopyDoesNotSpeakForALostOne) {
   Handle(0, RequestArrived{1, Read(5000)});
   Handle(5, PeerFailed{1, true});
@@ -303,8 +303,8 @@
   EXPECT_EQ(Answer(), "unknown instance_lost");
 }
 
-// The first keeper was only slow. Its refusal must not end the request while
-// the second keeper works on it.
+// The first keeper is slow. Its refusal must not end the request while the
+// second keeper works on it.
 TEST_F(ForwarderTest, ALateRefusalDoesNotEndWhatTheNextWorksOn) {
   Handle(0, RequestArrived{1, Read(5000)});
   while (ForwardedTo() != "b" && now_ < 4000) Wait(5000);
@@ -315,8 +315,8 @@
   EXPECT_EQ(Answer(), "done");
 }
 
-// An instance is being replaced and says so. The caller should not have to
-// care; the next in rank takes over.
+// A keeper that is being replaced refuses requests; the next instance in rank
+// must take them without an error for the caller.
 TEST_F(ForwarderTest, ALeavingKeeperIsPassedOver) {
   Handle(0, RequestArrived{1, Write(5000)});
   Handle(1, PeerAnswered{1, NotRun(Reason::kShuttingDown)});
@@ -378,8 +378,8 @@
   EXPECT_EQ(Answer(), "unknown instance_lost");
 }
 
-// The holder of the transaction dies with the commit in hand. Whether the
-// work order is in the books is known to the database, not to any instance.
+// The holder of the transaction fails during the commit. Only the database has
+// the outcome, so any instance can settle it.
 TEST_F(ForwarderTest, ALostCommitIsSettledThroughTheFirstInRank) {
   Handle(0, RequestArrived{1, InTransaction(Step::kCommit, 5000)});
   EXPECT_EQ(ForwardedTo(), "b");
@@ -405,8 +405,8 @@
   EXPECT_EQ(TransactionKeeper(""), "");
 }
 
-// All instances fail every call for a while. Each failure answered by a
-// further call would multiply the load on whoever comes back first.
+// All instances fail every call for a while. One retry per failure would
+// multiply the load on the first instance that recovers.
 TEST(ForwarderStorm, RetriesAreBoundedByTheBudget) {
   constexpr int kRequests = 2000;
   ForwarderTiming timing;
--- a/testsuite/support/admission/overload.h
+++ b/testsuite/support/admission/overload.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A group under load in virtual time: arrivals, a queue, slots with service
-// times, callers that come back when they are told to.
+// Simulation of a group under load in virtual time: arrivals, a queue, slots
+// with service times, callers that retry after the suggested delay.
 
 #include <algorithm>
 #include <chrono>
@@ -33,14 +33,14 @@
   std::vector<Load> loads;
   milliseconds length{20000};
   uint32_t slots = 9;
-  /// Service times are uniform between these two.
+  /// Service times are uniform in this range.
   microseconds service_low{2000};
   microseconds service_high{8000};
   uint32_t queue_limit = 2000;
-  /// Nothing is started between these two.
+  /// No request is started in this period.
   milliseconds stall_from{0};
   milliseconds stall_until{0};
-  /// Refused callers come back as told until they are served.
+  /// Refused callers retry after the suggested delay until they are served.
   bool callers_return = false;
   uint64_t seed = 1;
 
@@ -50,16 +50,16 @@
   }
 };
 
-/// What became of one workspace's requests.
+/// Outcomes of one workspace's requests.
 struct Tally {
   uint64_t arrived = 0;
   uint64_t served = 0;
   uint64_t in_time = 0;
   uint64_t refused = 0;
-  /// Arrival to start, and arrival to answer, of those served.
+  /// Times from arrival to start and from arrival to answer of served requests.
   std::vector<microseconds> queued;
   std::vector<microseconds> answered;
-  /// Arrival to refusal.
+  /// Times from arrival to refusal.
   std::vector<microseconds> refusal;
 };
 
@@ -70,7 +70,7 @@
   return values[static_cast<size_t>(last * p)];
 }
 
-/// Discrete event simulation; the same scenario always gives the same result.
+/// Discrete event simulation; deterministic for a given scenario.
 class Overload {
  public:
   explicit Overload(const Scenario& scenario)
@@ -96,9 +96,11 @@
   const Tally& tally(const std::string& workspace) {
     return tallies_[workspace];
   }
-  /// Requests that were refused and run all the same. Has to be none.
+  /// Returns the number of requests that were refused and run nevertheless;
+  /// must be zero.
   uint64_t refused_and_run() const { return refused_and_run_; }
-  /// Answers in time, by 100 ms of the run.
+  /// Returns the number of answers in time in this period, at a resolution of
+  /// 100 ms.
   uint64_t in_time(milliseconds from, milliseconds until) const {
     uint64_t count = 0;
     for (auto at = from / kBucket; at < until / kBucket; ++at) {
@@ -107,10 +109,10 @@
     }
     return count;
   }
-  /// When a caller was last refused.
+  /// Returns the time of the last refusal.
   microseconds last_refusal() const { return last_refusal_; }
-  /// When the last request first asked for before the end of the stall was
-  /// served.
+  /// Returns the time at which the last request first submitted before the end
+  /// of the stall was served.
   microseconds backlog_done() const { return backlog_done_; }
 
  private:
@@ -128,7 +130,7 @@
   struct Waiting {
     const Load* load = nullptr;
     microseconds arrived;
-    /// When the caller asked for the first time.
+    /// Time of the caller's first attempt.
     microseconds first;
   };
 
@@ -230,7 +232,7 @@
   uint64_t refused_and_run_ = 0;
 };
 
-/// A load with a part of the capacity of `scenario`.
+/// Returns a load of `part` times the capacity of `scenario`.
 inline Load LoadOf(const Scenario& scenario, const std::string& workspace,
                    uint32_t priority, uint32_t weight, double part) {
   Load load;
@@ -241,8 +243,8 @@
   return load;
 }
 
-/// The highest class at half of the capacity, alone or with the other classes
-/// that bring all of them to twice the capacity.
+/// Returns the highest class at half of the capacity, alone or with other
+/// classes that bring the total load to twice the capacity.
 inline Scenario TwiceTheLoad(bool crowded) {
   Scenario scenario;
   scenario.loads.push_back(LoadOf(scenario, "gold", 0, 1, 0.5));
@@ -253,8 +255,8 @@
   return scenario;
 }
 
-/// Half of the capacity is asked for; for three seconds nothing is served, as
-/// when a primary is lost; refused callers come back until they are served.
+/// Returns a load of half the capacity with a stall of three seconds, as when a
+/// primary is lost; refused callers retry until they are served.
 inline Scenario Storm() {
   Scenario scenario;
   scenario.length = milliseconds(40000);
--- a/testsuite/support/group/checks.h
+++ b/testsuite/support/group/checks.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Small helpers that the tests of a group share.
+// Helpers for the tests of a group.
 
 #include <memory>
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace ryefold::test {
 
-/// A group at rest with one keeper.
+/// Returns an idle group with one keeper.
 inline std::unique_ptr<FakeGroup> ReadyGroup(GroupShape shape = Tamworth(),
                                              uint64_t seed = 7) {
   auto group = std::make_unique<FakeGroup>(std::move(shape), seed);
@@ -19,14 +19,14 @@
   return group;
 }
 
-/// What `HealAndCheck` found, one line each.
+/// Returns the findings of `HealAndCheck`, one per line.
 inline std::string Text(const std::vector<std::string>& wrong) {
   std::string text;
   for (const std::string& line : wrong) text += line + "\n";
   return text;
 }
 
-/// Promote calls that all keepers have made.
+/// Returns the number of promote calls of all keepers.
 inline uint64_t Promotions(FakeGroup& group) {
   uint64_t count = 0;
   for (size_t i = 0; i < group.keepers(); ++i) {
--- a/testsuite/support/group/event_queue.h
+++ b/testsuite/support/group/event_queue.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Virtual time: a deterministic queue of things to do.
+// Virtual time with a deterministic event queue.
 
 #include <chrono>
 #include <cstdint>
@@ -16,8 +16,8 @@
 using std::chrono::milliseconds;
 using Duration = TimePoint::duration;
 
-/// Runs functions in order of their time; those of one time in the order in
-/// which they were added.
+/// Runs functions in order of time; functions of the same time in order of
+/// insertion.
 class EventQueue {
  public:
   TimePoint now() const { return now_; }
--- a/testsuite/support/group/failover_trial.h
+++ b/testsuite/support/group/failover_trial.h
@@ -1,7 +1,6 @@
 #pragma once
 
-// One loss of a primary under a steady flow of writes: how long no write could
-// be made.
+// Measures the write outage after one loss of a primary under steady writes.
 
 #include <algorithm>
 #include <string>
@@ -13,9 +12,11 @@
 
 enum class Loss {
   kKilled,
-  kCutOff,  ///< From its peers; still accepts connections.
+  kCutOff,  ///< No connection to its peers; still accepts connections of
+            ///< keepers.
   kFrozen,
-  kSilent,  ///< Cut off from everybody: no answers, no resets.
+  kSilent,  ///< No connection to any peer or keeper: neither answers nor
+            ///< resets.
   kKilledWithKeeper,
   kFrozenWithKeeper,
   kPlanned,
@@ -27,13 +28,13 @@
   std::vector<std::string> wrong;
 };
 
-/// Time that a successor takes to notice the loss of a keeper: it asks once a
-/// second and waits half a second for the answer.
+/// A successor sends heartbeats to the keeper once a second with a timeout of
+/// half a second. These bound the time until it detects the loss of the keeper.
 constexpr milliseconds kSuccessorAsksEvery{1000};
 constexpr milliseconds kSuccessorPatience{500};
 constexpr milliseconds kWriteEvery{5};
 
-/// How often writes come.
+/// Rate of writes.
 enum class Traffic { kSteady, kRare };
 constexpr milliseconds kRareWriteEvery{3000};
 
@@ -59,7 +60,7 @@
     return result;
   }
 
-  /// Runs on under a disturbance that must not cause a promotion.
+  /// Runs under a disturbance that must not cause a promotion.
   FailoverResult Disturb(Duration stall, Duration network_delay) {
     group_["a"].stall = stall;
     for (const char* name : {"a", "b", "c"}) {
@@ -148,7 +149,7 @@
   std::vector<TimePoint> done_;
 };
 
-/// Median and worst of many trials of one loss.
+/// Median and maximum over many trials of one loss.
 struct FailoverFigures {
   Duration median{0};
   Duration worst{0};
@@ -177,7 +178,7 @@
   return figures;
 }
 
-/// Promotions that a disturbance caused in `trials` runs.
+/// Returns the promotions that a disturbance caused in `trials` runs.
 inline uint64_t CountFalsePromotions(const GroupShape& shape, Duration stall,
                                      Duration network_delay, Traffic traffic,
                                      size_t trials, uint64_t seed) {
--- a/testsuite/support/group/fake_database.h
+++ b/testsuite/support/group/fake_database.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// One database of a fake group: terms, log shipping, statements, as told in
-// docs/PROTOCOLS.md, in virtual time.
+// One database of a fake group in virtual time: terms, log shipping and
+// statements, as specified in docs/PROTOCOLS.md.
 
 #include <deque>
 #include <functional>
@@ -20,7 +20,7 @@
 
 class FakeDatabase;
 
-/// Finds another database of the group by name.
+/// Returns another database of the group by name.
 using PeerLookup = std::function<FakeDatabase*(const std::string&)>;
 
 struct DatabaseShape {
@@ -28,7 +28,7 @@
   uint32_t connection_limit = 20;
   Duration statement_time = std::chrono::microseconds(200);
   Duration peer_delay = std::chrono::microseconds(500);
-  /// Added to the shipping of each entry.
+  /// Additional delay of shipped log entries.
   Duration lag{0};
 };
 
@@ -59,7 +59,7 @@
   bool dead = false;
   bool frozen = false;
   bool peers_cut = false;
-  /// Statements take this much longer.
+  /// Additional time of each statement.
   Duration stall{0};
 
   void Kill() {
@@ -81,7 +81,7 @@
       run();
     }
   }
-  /// Runs `work` now, or once the database is no longer frozen.
+  /// Runs `work` now, or after `Thaw` if the database is frozen.
   void Deliver(std::function<void()> work) {
     if (frozen) {
       held_.push_back(std::move(work));
@@ -90,7 +90,7 @@
     }
   }
 
-  // ---- calls; the caller has carried them here ----
+  // ---- calls; the caller simulates the network delay ----
   bool Open(ConnectionKey key) {
     if (connections_.size() >= shape_.connection_limit) return false;
     connections_[key];
@@ -140,7 +140,7 @@
   bool is_primary() const { return primary_role_; }
   uint64_t adopted_term() const { return adopted_term_; }
   DatabaseShape& shape() { return shape_; }
-  /// When the last statement arrived.
+  /// Arrival time of the last statement.
   TimePoint statements_at() const { return statements_at_; }
 
  private:
@@ -220,7 +220,7 @@
         return answer;
       case core::Step::kCommit:
         if (!connection.open) return Refuse(core::ExecuteStatus::kBadCall);
-        // The commit's own text marks the entry, for the checks.
+        // The text of the commit identifies the entry for the checks.
         connection.written.push_back(call.sql);
         return RunWrite(call, std::exchange(connection, {}).written);
       case core::Step::kStatement:
@@ -325,7 +325,7 @@
 
   void Resubscribe() {
     queue_->After(milliseconds(100), [this] {
-      // A stream that has only just begun is still on its way.
+      // A new stream may still be in flight.
       const TimePoint due =
           asked_at_ + 2 * shape_.peer_delay + shape_.lag + milliseconds(50);
       const bool waits = stream_live_ || queue_->now() < due;
@@ -347,7 +347,7 @@
                   });
   }
 
-  /// What is still under way on a broken stream never arrives.
+  /// Entries in flight on a broken stream never arrive.
   void BreakStream() {
     ++stream_;
     stream_live_ = false;
@@ -366,8 +366,8 @@
     });
   }
 
-  /// Sends what the stream has not carried yet; a new stream begins with the
-  /// whole log, of which the follower keeps what it has in common.
+  /// Sends the entries that the stream has not sent yet. A new stream starts
+  /// with the whole log; the follower keeps the common prefix.
   void Ship(const std::string& name, Follower* follower) {
     FakeDatabase* replica = peers_(name);
     if (replica == nullptr || !LinkedTo(*replica)) {
@@ -380,7 +380,7 @@
     queue_->After(shape_.peer_delay + replica->shape_.lag,
                   [this, replica, from, tail, stream = follower->stream,
                    term = adopted_term_, life = life_] {
-                    // What was under way when the link broke is lost.
+                    // Entries in flight when the link broke are lost.
                     if (life != life_ || !LinkedTo(*replica)) {
                       replica->BreakStream();
                       return;
@@ -394,7 +394,7 @@
   void Shipped(uint64_t stream, uint64_t term, size_t from,
                const std::vector<LogEntry>& tail) {
     if (dead || stream != stream_ || term < adopted_term_) return;
-    // A gap: a part of the stream was lost. Begin a new one.
+    // Part of the stream was lost; a new stream is needed.
     if (from > log_.entries().size()) {
       BreakStream();
       return;
@@ -443,7 +443,7 @@
     for (const uint64_t id : due) AnswerWaiter(id);
   }
 
-  /// What a process loses when it dies.
+  /// Discards the state that a process loses when it dies.
   void Forget() {
     ++life_;
     ++stream_;
--- a/testsuite/support/group/fake_group.h
+++ b/testsuite/support/group/fake_group.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A database group with one or two keepers and clients on it, and the check of
-// what the clients were told against the databases' own logs.
+// A database group with keepers and clients, and a check of the clients'
+// answers against the logs of the databases.
 
 #include <map>
 #include <memory>
@@ -23,8 +23,8 @@
   std::vector<core::WorkspacePolicy> workspaces;
 };
 
-/// Profile of a deployment: one-way delay between failure domains and time for
-/// a new connection.
+/// Returns the shape of a deployment with this one-way delay between failure
+/// domains and this time to open a connection.
 inline GroupShape ShapeOf(Duration one_way, milliseconds connect_time,
                           uint32_t connection_limit = 20) {
   GroupShape shape;
@@ -54,7 +54,7 @@
   return ShapeOf(milliseconds(1), milliseconds(30), 40);
 }
 
-/// One request as its caller knows it.
+/// One request as seen by its caller.
 struct Asked {
   core::StatementRequest request;
   TimePoint at;
@@ -62,7 +62,7 @@
   TimePoint answered_at;
   int answers = 0;
   int keeper = 0;
-  /// The caller sent this id before and does not know what became of it.
+  /// The caller sent this id before and its outcome is unknown to it.
   bool repeat = false;
 };
 
@@ -83,7 +83,7 @@
     }
   }
 
-  /// Starts a keeper and tells its number.
+  /// Starts a keeper and returns its number.
   int AddKeeper() {
     const int number = static_cast<int>(hosts_.size());
     hosts_.push_back(std::make_unique<KeeperHost>(
@@ -97,7 +97,8 @@
     return number;
   }
 
-  /// Sends a request through a keeper; `then` is called with the answer.
+  /// Sends a request through a keeper and returns its tag; `then` is called
+  /// with the answer.
   uint64_t Send(int keeper, const core::StatementRequest& request,
                 Then then = {}, bool repeat = false) {
     const uint64_t tag = next_tag_++;
@@ -136,7 +137,7 @@
     request.deadline = queue_.now() + within;
     return request;
   }
-  /// Asks whether `value` is there.
+  /// Returns a read that checks whether `value` was written.
   core::StatementRequest Read(const std::string& value, milliseconds within,
                               core::LogPosition seen, milliseconds max_age) {
     core::StatementRequest request = Write(within);
@@ -175,7 +176,7 @@
     return databases_;
   }
 
-  /// The primary of the highest term, null when there is none.
+  /// Returns the primary of the highest term; null if there is none.
   FakeDatabase* primary() {
     FakeDatabase* best = nullptr;
     for (auto& [name, database] : databases_) {
@@ -187,7 +188,8 @@
     return best;
   }
 
-  /// Ends all faults, lets the group come to rest, and returns what is wrong.
+  /// Ends all faults, runs the group until it is idle, and returns the
+  /// violations found.
   std::vector<std::string> HealAndCheck() {
     Heal();
     queue_.RunFor(std::chrono::seconds(20));
@@ -251,8 +253,8 @@
       wrong->push_back(id + " was told done and is there " +
                        std::to_string(count) + " times");
     }
-    // A refusal of a repeat that was never sent says nothing of the first
-    // sending; a fence speaks for the id.
+    // The refusal of a repeat that was never sent does not cover the first
+    // attempt; a fence covers the id.
     const bool fenced = answer.reason() == core::Reason::kFenced ||
                         answer.reason() == core::Reason::kDiscarded;
     const bool speaks_for_id = fenced || !asked.repeat;
@@ -284,7 +286,8 @@
   }
 
  public:
-  /// Keepers that were frozen cannot answer in time meanwhile.
+  /// Freezes a keeper. Late answers of a keeper that was frozen are not counted
+  /// as violations.
   void FreezeKeeper(int number) {
     hosts_[number]->Freeze();
     thawed_.insert(number);
--- a/testsuite/support/group/fake_log.h
+++ b/testsuite/support/group/fake_log.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The log of a fake database, with the records and fences found in it.
+// The log of a fake database, with an index of its records and fences.
 
 #include <algorithm>
 #include <cstdint>
@@ -19,9 +19,9 @@
 struct LogEntry {
   uint64_t term = 0;
   EntryKind kind = EntryKind::kWrite;
-  /// Workspace and request id; of the commit for a transaction.
+  /// Workspace and request id; for a transaction, those of its commit.
   std::string key;
-  /// What the entry wrote, by sql text.
+  /// The SQL texts of the entry's writes.
   std::vector<std::string> values;
 };
 
@@ -40,7 +40,7 @@
     return last();
   }
 
-  /// Drops everything after the first `size` entries.
+  /// Removes all entries after the first `size`.
   void Truncate(size_t size) {
     entries_.resize(std::min(size, entries_.size()));
     records_.clear();
@@ -49,14 +49,14 @@
     for (size_t i = 0; i < entries_.size(); ++i) Index(i);
   }
 
-  /// Entries after the first `from`.
+  /// Returns the entries after the first `from`.
   std::vector<LogEntry> Tail(size_t from) const {
     return {entries_.begin() + static_cast<std::ptrdiff_t>(from),
             entries_.end()};
   }
 
-  /// How many entries are shared with a log that holds the same first `from`
-  /// entries, followed by `tail`.
+  /// Returns the number of entries in common with a log that has the same first
+  /// `from` entries, followed by `tail`.
   size_t CommonWith(size_t from, const std::vector<LogEntry>& tail) const {
     size_t common = from;
     while (common < entries_.size() && common - from < tail.size() &&
@@ -66,7 +66,8 @@
     return common;
   }
 
-  /// The write or fence with this key, as its index from 0.
+  /// Returns the index, from 0, of the write or fence with this key; nullopt if
+  /// there is none.
   std::optional<size_t> Find(const std::string& key) const {
     const auto it = records_.find(key);
     if (it == records_.end()) return std::nullopt;
--- a/testsuite/support/group/keeper_host.h
+++ b/testsuite/support/group/keeper_host.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Drives one keeper in virtual time: carries its actions to the fake databases
-// and their answers back, with delays, losses and the keeper's own faults.
+// Runs one keeper in virtual time: passes its actions to the fake databases and
+// their answers back, with delays, losses and faults of the keeper.
 
 #include <deque>
 #include <functional>
@@ -24,9 +24,9 @@
 struct NetworkShape {
   Duration one_way = std::chrono::microseconds(500);
   Duration connect_time = milliseconds(10);
-  /// Chance that the answer to a call is lost: its connection is reset.
+  /// Probability that the answer to a call is lost and its connection reset.
   double lose_answer = 0;
-  /// Chance that the answer to a call comes this much later.
+  /// Probability that the answer to a call is delayed by `answer_delay`.
   double delay_answer = 0;
   Duration answer_delay = milliseconds(400);
 };
@@ -67,7 +67,8 @@
   void Freeze() { frozen_ = true; }
   void Thaw() {
     frozen_ = false;
-    // A process that wakes finds its sockets' events and its timers together.
+    // A process that resumes receives its queued socket events and its expired
+    // timers together.
     std::deque<group::Event> held = std::exchange(held_, {});
     for (const group::Event& event : held) Feed(event);
     Feed(group::Tick{});
@@ -83,9 +84,9 @@
   bool idle() const { return keeper_ == nullptr || keeper_->idle(); }
   core::group::KeeperView view() const { return keeper_->view(queue_->now()); }
   NetworkShape& network() { return network_; }
-  /// More delay each way to one database.
+  /// Additional delay, in each direction, per database.
   std::map<std::string, Duration> extra_delay;
-  /// Databases that packets neither reach nor come from.
+  /// Databases with all packets dropped in both directions.
   std::set<std::string> cut;
 
   uint64_t control_calls = 0;
@@ -248,7 +249,7 @@
   }
 
  public:
-  /// A database process died: its host resets every connection.
+  /// Handles the death of a database process: its host resets all connections.
   void DatabaseDied(const std::string& name) {
     if (cut.contains(name)) return;
     std::vector<uint64_t> lost;
--- a/testsuite/support/group/random_run.h
+++ b/testsuite/support/group/random_run.h
@@ -49,7 +49,7 @@
     group_.time().RunFor(milliseconds(300));
   }
 
-  /// Runs the faults beside the load; returns what went wrong.
+  /// Runs the faults along with the load and returns the violations.
   std::vector<std::string> Run(const std::vector<Fault>& faults) {
     for (int i = 0; i < kSessions; ++i) {
       sessions_.push_back(std::make_unique<Session>());
@@ -81,7 +81,7 @@
     return static_cast<int>(group_.random()() % static_cast<uint64_t>(sides));
   }
 
-  /// Number of a keeper that lives, -1 when there is none.
+  /// Returns the number of a random live keeper, -1 if there is none.
   int SomeKeeper() {
     std::vector<int> alive;
     for (size_t i = 0; i < group_.keepers(); ++i) {
@@ -136,7 +136,8 @@
       Later(session);
       return;
     }
-    // The caller does not know: it asks, or repeats the same request.
+    // The outcome is unknown to the caller: it settles the request or repeats
+    // it.
     if (Dice(3) == 0) {
       group_.Settle(keeper, request.request_id, Within());
       Later(session);
--- a/testsuite/support/group/share_trial.h
+++ b/testsuite/support/group/share_trial.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// How many reads replicas serve, beside what a router that knew every log at
-// every moment could have given them.
+// Measures the reads served by replicas, compared with the upper bound of a
+// router that has every log position at every moment.
 
 #include <string>
 #include <vector>
@@ -12,10 +12,10 @@
 
 struct ShareLoad {
   milliseconds lag{50};
-  /// Statements a second, over all sessions.
+  /// Statements per second over all sessions.
   int rate = 100;
   int sessions = 50;
-  /// One statement in so many is a write.
+  /// One statement in `write_every` is a write.
   int write_every = 10;
   milliseconds loose_age{5000};
 };
@@ -23,13 +23,13 @@
 struct ShareFigures {
   uint64_t reads = 0;
   uint64_t by_replica = 0;
-  /// Reads for which some replica held all they needed when they arrived.
+  /// Reads for which some replica had every required entry on arrival.
   uint64_t allowed = 0;
   uint64_t unanswered = 0;
 
   double share() const { return Ratio(by_replica, reads); }
   double bound() const { return Ratio(allowed, reads); }
-  /// Share of what was allowed.
+  /// Returns the fraction of the upper bound that was reached.
   double reached() const { return Ratio(by_replica, allowed); }
 
  private:
@@ -54,7 +54,7 @@
     const Duration gap = Duration(std::chrono::seconds(1)) / load_.rate;
     while (group_.time().now() < end) {
       Next();
-      // Arrivals without a beat: between half and one and a half gaps.
+      // Irregular arrivals: intervals between 0.5 and 1.5 times the mean.
       const auto part = 500 + group_.random()() % 1000;
       group_.time().RunFor(gap * part / 1000);
     }
@@ -92,7 +92,8 @@
     seen_[session] = std::max(seen_[session], answer.seen());
   }
 
-  /// The lag is far below the loose age, so only the session binds there.
+  /// The lag is far below the loose age, so a loose read is bound only by its
+  /// session.
   bool Allowed(const core::LogPosition& seen, bool strict) {
     core::LogPosition needed = seen;
     if (strict) needed = std::max(needed, group_["a"].log().last());
