--- a/src/include/ryefold/core/admission/queue.h
+++ b/src/include/ryefold/core/admission/queue.h
@@ -119,7 +119,7 @@
  public:
   /// Each first attempt adds `ratio` retries to the budget, up to `burst`.
   RetryBudget(double ratio, double burst)
-      : ratio_(ratio), burst_(burst), saved_(burst) {}
+      : ratio_(ratio), burst_(burst), available_(burst) {}
 
   void FirstTry();
   /// Consumes one retry. Returns false if the budget is exhausted.
@@ -128,7 +128,7 @@
  private:
   double ratio_;
   double burst_;
-  double saved_;
+  double available_;
 };
 
 /// Divides the connections to one database between workspaces. Each workspace
@@ -145,7 +145,7 @@
   /// Returns true if `workspace` may take one more connection now.
   /// `waiting_workspaces` lists the workspaces that have requests waiting.
   bool MayTake(const std::string& workspace,
-               const std::vector<std::string>& wanted) const;
+               const std::vector<std::string>& contending) const;
 
   /// Same as above in constant time, based on `AddWaiting` and `RemoveWaiting`,
   /// which must be called once for each request that starts or stops waiting.
@@ -161,15 +161,15 @@
   struct Entry {
     uint32_t share = 0;
     uint32_t held = 0;
-    uint32_t wants = 0;
+    uint32_t waiting_requests = 0;
 
-    uint32_t unmet() const { return held < share ? share - held : 0; }
+    uint32_t unused_share() const { return held < share ? share - held : 0; }
   };
-  const Entry& Find(const std::string& workspace) const;
+  const Entry& FindEntry(const std::string& workspace) const;
   /// Applies `change` to the entry and updates `reserved_`.
   template <class Change>
-  void Apply(const std::string& workspace, Change change);
-  bool Fits(const Entry& entry, uint32_t reserved) const;
+  void Update(const std::string& workspace, Change change);
+  bool IsGrantable(const Entry& entry, uint32_t reserved) const;
 
   std::unordered_map<std::string, Entry> entries_;
   uint32_t usable_ = 0;
--- a/src/include/ryefold/core/admission/return_plan.h
+++ b/src/include/ryefold/core/admission/return_plan.h
@@ -23,11 +23,11 @@
   /// number of tickets ahead of it. `last_retry_at` holds the latest retry time
   /// given to a caller of this class and is advanced.
   std::chrono::milliseconds Next(TimePoint now, std::optional<double> rate,
-                                 double ahead, TimePoint* promised);
+                                 double ahead, TimePoint* last_retry_at);
 
  private:
-  std::chrono::milliseconds Between(std::chrono::milliseconds low,
-                                    std::chrono::milliseconds high);
+  std::chrono::milliseconds RandomBetween(std::chrono::milliseconds low,
+                                          std::chrono::milliseconds high);
 
   std::mt19937_64 random_;
 };
--- a/src/include/ryefold/core/admission/usual_demand.h
+++ b/src/include/ryefold/core/admission/usual_demand.h
@@ -24,13 +24,13 @@
 
  private:
   struct Count {
-    TimePoint at;
+    TimePoint updated_at;
     double count = 0;
   };
-  static double Faded(const Count& count, TimePoint now);
+  static double Decayed(const Count& count, TimePoint now);
 
   std::unordered_map<std::string, Count> counts_;
-  Count all_;
+  Count total_;
 };
 
 }  // namespace ryefold::core::admission
--- a/src/include/ryefold/core/entry/forwarder.h
+++ b/src/include/ryefold/core/entry/forwarder.h
@@ -86,11 +86,11 @@
 struct ForwarderTiming {
   /// A keeper that has an unanswered request and has not answered any call for
   /// this long is probed.
-  std::chrono::milliseconds patience{1000};
+  std::chrono::milliseconds contact_timeout{1000};
   /// An instance that does not answer the probe within this time is suspected.
   /// A non-repeatable request is then settled through the next instance in
   /// rank; a repeatable one is sent to that instance.
-  std::chrono::milliseconds probe_patience{500};
+  std::chrono::milliseconds probe_timeout{500};
   /// Retries added to the budget per first attempt, and the budget's maximum.
   double retry_ratio = 0.2;
   double retry_burst = 50;
--- a/src/libcore/admission/lines.cc
+++ b/src/libcore/admission/lines.cc
@@ -5,85 +5,89 @@
 
 namespace ryefold::core::admission {
 
-Tickets::iterator PriorityClass::Add(Line* line, Ticket ticket) {
-  Discount(line);
+Tickets::iterator PriorityClass::Add(WorkspaceQueue* queue, Ticket ticket) {
+  SubtractFromTotals(queue);
   const auto added =
-      line->tickets.insert(line->tickets.end(), std::move(ticket));
-  if (line->home == nullptr) {
-    line->place = ring_.insert(ring_.end(), line);
-    line->home = this;
+      queue->tickets.insert(queue->tickets.end(), std::move(ticket));
+  if (queue->owner == nullptr) {
+    queue->ring_position = ring_.insert(ring_.end(), queue);
+    queue->owner = this;
   }
-  Count(line);
+  AddToTotals(queue);
   return added;
 }
 
-void PriorityClass::Remove(Line* line, Tickets::iterator ticket) {
-  Discount(line);
-  line->tickets.erase(ticket);
-  Count(line);
+void PriorityClass::Remove(WorkspaceQueue* queue, Tickets::iterator ticket) {
+  SubtractFromTotals(queue);
+  queue->tickets.erase(ticket);
+  AddToTotals(queue);
   // An empty queue loses its turn and its unused deficit: shares are for
   // workspaces with queued tickets, not for those that may return.
-  if (line->tickets.empty()) Leave(line);
+  if (queue->tickets.empty()) Detach(queue);
 }
 
-std::optional<Ticket> PriorityClass::Take(const CanRun& can_run) {
+std::optional<Ticket> PriorityClass::TakeNext(const TicketPredicate& can_run) {
   for (size_t turns = ring_.size(); turns > 0; --turns) {
-    Line* line = ring_.front();
-    if (line->deficit < 1) line->deficit += line->weight / least_weight;
+    WorkspaceQueue* queue = ring_.front();
+    if (queue->deficit < 1) queue->deficit += queue->weight / min_weight;
     const auto next =
-        std::find_if(line->tickets.begin(), line->tickets.end(), can_run);
-    if (next == line->tickets.end()) {
-      Pass();
+        std::find_if(queue->tickets.begin(), queue->tickets.end(), can_run);
+    if (next == queue->tickets.end()) {
+      EndTurn();
       continue;
     }
     Ticket taken = std::move(*next);
-    line->deficit -= 1;
-    Remove(line, next);
-    if (!line->tickets.empty() && line->deficit < 1) Pass();
+    queue->deficit -= 1;
+    Remove(queue, next);
+    if (!queue->tickets.empty() && queue->deficit < 1) EndTurn();
     return taken;
   }
   return std::nullopt;
 }
 
-double PriorityClass::Ahead(double weight, size_t ordinal, bool active) const {
-  const double weights = active_weight_ + (active ? 0 : weight);
-  const double by_share = static_cast<double>(ordinal) * weights / weight;
+double PriorityClass::TicketsAhead(double weight, size_t ordinal,
+                                   bool active) const {
+  const double total_weight = active_weight_ + (active ? 0 : weight);
+  const double by_share = static_cast<double>(ordinal) * total_weight / weight;
   return std::min(by_share, static_cast<double>(size_));
 }
 
-Line* PriorityClass::heaviest() const {
-  return by_load_.empty() ? nullptr : std::get<Line*>(*by_load_.rbegin());
+WorkspaceQueue* PriorityClass::most_loaded() const {
+  return by_load_.empty() ? nullptr
+                          : std::get<WorkspaceQueue*>(*by_load_.rbegin());
 }
 
-void PriorityClass::Leave(Line* line) {
-  if (line->home != this) return;
-  Discount(line);
-  ring_.erase(line->place);
-  line->home = nullptr;
-  line->deficit = 0;
+void PriorityClass::Detach(WorkspaceQueue* queue) {
+  if (queue->owner != this) return;
+  SubtractFromTotals(queue);
+  ring_.erase(queue->ring_position);
+  queue->owner = nullptr;
+  queue->deficit = 0;
 }
 
-void PriorityClass::Join(Line* line) {
-  if (line->tickets.empty()) return;
-  line->place = ring_.insert(ring_.end(), line);
-  line->home = this;
-  Count(line);
+void PriorityClass::Attach(WorkspaceQueue* queue) {
+  if (queue->tickets.empty()) return;
+  queue->ring_position = ring_.insert(ring_.end(), queue);
+  queue->owner = this;
+  AddToTotals(queue);
 }
 
-void PriorityClass::Count(Line* line) {
-  if (line->tickets.empty()) return;
-  by_load_.insert(LoadOf(line));
-  size_ += line->tickets.size();
-  active_weight_ += line->weight;
+void PriorityClass::AddToTotals(WorkspaceQueue* queue) {
+  if (queue->tickets.empty()) return;
+  by_load_.insert(LoadKeyOf(queue));
+  size_ += queue->tickets.size();
+  active_weight_ += queue->weight;
 }
 
-void PriorityClass::Discount(Line* line) {
-  if (line->tickets.empty()) return;
-  by_load_.erase(LoadOf(line));
-  size_ -= line->tickets.size();
-  active_weight_ -= line->weight;
+void PriorityClass::SubtractFromTotals(WorkspaceQueue* queue) {
+  if (queue->tickets.empty()) return;
+  by_load_.erase(LoadKeyOf(queue));
+  size_ -= queue->tickets.size();
+  active_weight_ -= queue->weight;
 }
 
-void PriorityClass::Pass() { ring_.splice(ring_.end(), ring_, ring_.begin()); }
+void PriorityClass::EndTurn() {
+  ring_.splice(ring_.end(), ring_, ring_.begin());
+}
 
 }  // namespace ryefold::core::admission
--- a/src/libcore/admission/lines.h
+++ b/src/libcore/admission/lines.h
@@ -16,20 +16,20 @@
 namespace ryefold::core::admission {
 
 using Tickets = std::list<Ticket>;
-using CanRun = std::function<bool(const Ticket&)>;
+using TicketPredicate = std::function<bool(const Ticket&)>;
 
 class PriorityClass;
 
 /// Tickets of one workspace, oldest first. Exists only while it has tickets.
-struct Line {
+struct WorkspaceQueue {
   uint64_t id = 0;
   std::string workspace;
   uint32_t priority = 0;
   double weight = 1;
   double deficit = 0;
   Tickets tickets;
-  PriorityClass* home = nullptr;
-  std::list<Line*>::iterator place;
+  PriorityClass* owner = nullptr;
+  std::list<WorkspaceQueue*>::iterator ring_position;
 
   double load() const { return static_cast<double>(tickets.size()) / weight; }
 };
@@ -39,46 +39,48 @@
 /// large weights do not cause long bursts.
 class PriorityClass {
  public:
-  Tickets::iterator Add(Line* line, Ticket ticket);
-  void Remove(Line* line, Tickets::iterator ticket);
+  Tickets::iterator Add(WorkspaceQueue* queue, Ticket ticket);
+  void Remove(WorkspaceQueue* queue, Tickets::iterator ticket);
 
   /// Removes and returns the next ticket that can run; nullopt if there is
   /// none.
-  std::optional<Ticket> Take(const CanRun& can_run);
+  std::optional<Ticket> TakeNext(const TicketPredicate& can_run);
 
   /// Returns an upper bound, in constant time, on the tickets of this class
   /// served before the `ordinal`-th ticket (from 1) of a queue of this weight.
   /// `active` is true if the queue already has tickets.
-  double Ahead(double weight, size_t ordinal, bool active) const;
+  double TicketsAhead(double weight, size_t ordinal, bool active) const;
 
   /// Returns the queue with the most tickets relative to its weight; null if
   /// the class is empty.
-  Line* heaviest() const;
+  WorkspaceQueue* most_loaded() const;
 
   /// Detaches or attaches a queue with all its tickets, to move it to another
   /// class or to change its weight.
-  void Leave(Line* line);
-  void Join(Line* line);
+  void Detach(WorkspaceQueue* queue);
+  void Attach(WorkspaceQueue* queue);
 
   size_t size() const { return size_; }
-  const std::list<Line*>& lines() const { return ring_; }
+  const std::list<WorkspaceQueue*>& queues() const { return ring_; }
 
   /// Tickets of open transactions, served before all workspace queues.
   Tickets transactions;
-  double least_weight = 1;
+  double min_weight = 1;
   ArrivalRate arrivals;
   /// Latest retry time given to a refused caller of this class.
-  TimePoint promised;
+  TimePoint last_retry_at;
 
  private:
-  using Load = std::tuple<double, uint64_t, Line*>;
-  static Load LoadOf(Line* line) { return {line->load(), line->id, line}; }
-  void Count(Line* line);
-  void Discount(Line* line);
-  void Pass();
-
-  std::list<Line*> ring_;
-  std::set<Load> by_load_;
+  using LoadKey = std::tuple<double, uint64_t, WorkspaceQueue*>;
+  static LoadKey LoadKeyOf(WorkspaceQueue* queue) {
+    return {queue->load(), queue->id, queue};
+  }
+  void AddToTotals(WorkspaceQueue* queue);
+  void SubtractFromTotals(WorkspaceQueue* queue);
+  void EndTurn();
+
+  std::list<WorkspaceQueue*> ring_;
+  std::set<LoadKey> by_load_;
   size_t size_ = 0;
   double active_weight_ = 0;
 };
--- a/src/libcore/admission/queue_impl.cc
+++ b/src/libcore/admission/queue_impl.cc
@@ -16,139 +16,140 @@
                               uint32_t limit) {
   limit_ = limit;
   policies_.clear();
-  std::map<uint32_t, double> least;
+  std::map<uint32_t, double> min_weights;
   for (const WorkspacePolicy& policy : workspaces) {
     const double weight = std::max<uint32_t>(policy.weight, 1);
     policies_[policy.workspace] = Policy{policy.priority, weight};
-    const auto [found, added] = least.emplace(policy.priority, weight);
+    const auto [found, added] = min_weights.emplace(policy.priority, weight);
     if (!added) found->second = std::min(found->second, weight);
   }
-  for (auto& [workspace, line] : lines_) {
-    if (line.home != nullptr) line.home->Leave(&line);
+  for (auto& [workspace, queue] : queues_) {
+    if (queue.owner != nullptr) queue.owner->Detach(&queue);
   }
-  for (const auto& [priority, weight] : least) {
-    classes_[priority].least_weight = weight;
+  for (const auto& [priority, weight] : min_weights) {
+    classes_[priority].min_weight = weight;
   }
-  classes_[kLastClass].least_weight = 1;
-  for (auto& [workspace, line] : lines_) {
-    const Policy policy = PolicyOf(workspace);
-    line.priority = policy.priority;
-    line.weight = policy.weight;
-    classes_[line.priority].Join(&line);
+  classes_[kLowestPriority].min_weight = 1;
+  for (auto& [workspace, queue] : queues_) {
+    const Policy policy = PolicyFor(workspace);
+    queue.priority = policy.priority;
+    queue.weight = policy.weight;
+    classes_[queue.priority].Attach(&queue);
   }
 }
 
-Line* Queue::Impl::LineOf(const std::string& workspace) {
-  const auto [found, added] = lines_.try_emplace(workspace);
-  Line* line = &found->second;
+WorkspaceQueue* Queue::Impl::QueueFor(const std::string& workspace) {
+  const auto [found, added] = queues_.try_emplace(workspace);
+  WorkspaceQueue* queue = &found->second;
   if (added) {
-    const Policy policy = PolicyOf(workspace);
-    line->id = next_line_++;
-    line->workspace = workspace;
-    line->priority = policy.priority;
-    line->weight = policy.weight;
+    const Policy policy = PolicyFor(workspace);
+    queue->id = next_queue_id_++;
+    queue->workspace = workspace;
+    queue->priority = policy.priority;
+    queue->weight = policy.weight;
   }
-  return line;
+  return queue;
 }
 
-Refusal Queue::Impl::Refuse(TimePoint now, const Ticket& ticket,
-                            Reason reason) {
-  const Standing standing = StandingOf(ticket.workspace);
-  TimePoint* promised = &classes_.at(standing.priority).promised;
+Refusal Queue::Impl::MakeRefusal(TimePoint now, const Ticket& ticket,
+                                 Reason reason) {
+  const InsertionPoint insertion = InsertionPointFor(ticket.workspace);
+  TimePoint* last_retry_at = &classes_.at(insertion.priority).last_retry_at;
   Refusal refusal;
   refusal.tag = ticket.tag;
   refusal.reason = reason;
-  refusal.retry_after =
-      plan_.Next(now, PartOf(UsualPerSecond(), now, standing.priority),
-                 Ahead(standing), promised);
+  refusal.retry_after = retry_after_.Next(
+      now, RateForClass(TypicalDrainRate(), now, insertion.priority),
+      TicketsAhead(insertion), last_retry_at);
   return refusal;
 }
 
-Refusal Queue::Impl::RefuseWaiting(TimePoint now, uint64_t tag, Reason reason) {
-  const Ticket ticket = *places_.at(tag).ticket;
+Refusal Queue::Impl::RefuseQueued(TimePoint now, uint64_t tag, Reason reason) {
+  const Ticket ticket = *locations_.at(tag).ticket;
   Remove(tag);
-  return Refuse(now, ticket, reason);
+  return MakeRefusal(now, ticket, reason);
 }
 
 /// Returns the tag of the queued ticket to evict for `ticket`; nullopt if all
 /// queued tickets come before it. Within a class the most loaded workspace
 /// gives way, so that one with many requests cannot shut out the others.
-std::optional<uint64_t> Queue::Impl::Victim(const Ticket& ticket) const {
-  const Standing standing = StandingOf(ticket.workspace);
+std::optional<uint64_t> Queue::Impl::EvictionCandidate(
+    const Ticket& ticket) const {
+  const InsertionPoint insertion = InsertionPointFor(ticket.workspace);
   for (auto it = classes_.rbegin(); it != classes_.rend(); ++it) {
-    const Line* heaviest = it->second.heaviest();
-    if (heaviest == nullptr) continue;
+    const WorkspaceQueue* most_loaded = it->second.most_loaded();
+    if (most_loaded == nullptr) continue;
     const double load =
-        static_cast<double>(standing.waiting + 1) / standing.weight;
-    const bool lower = it->first > standing.priority;
+        static_cast<double>(insertion.queued + 1) / insertion.weight;
+    const bool lower = it->first > insertion.priority;
     const bool heavier =
-        it->first == standing.priority && heaviest->load() > load;
+        it->first == insertion.priority && most_loaded->load() > load;
     if (!ticket.in_transaction && !lower && !heavier) return std::nullopt;
-    return heaviest->tickets.back().tag;
+    return most_loaded->tickets.back().tag;
   }
   return std::nullopt;
 }
 
 void Queue::Impl::Insert(TimePoint now, Ticket ticket) {
   const uint64_t tag = ticket.tag;
-  const uint32_t priority = StandingOf(ticket.workspace).priority;
-  PriorityClass* home = &classes_.at(priority);
-  home->arrivals.Add(now);
+  const uint32_t priority = InsertionPointFor(ticket.workspace).priority;
+  PriorityClass* owner = &classes_.at(priority);
+  owner->arrivals.Add(now);
   deadlines_.emplace(ticket.deadline, tag);
-  Place place;
+  Location location;
   if (ticket.in_transaction) {
-    place.home = home;
-    place.ticket =
-        home->transactions.insert(home->transactions.end(), std::move(ticket));
-    ++transactions_;
+    location.owner = owner;
+    location.ticket = owner->transactions.insert(owner->transactions.end(),
+                                                 std::move(ticket));
+    ++transaction_tickets_;
   } else {
-    place.line = LineOf(ticket.workspace);
-    place.ticket = home->Add(place.line, std::move(ticket));
+    location.queue = QueueFor(ticket.workspace);
+    location.ticket = owner->Add(location.queue, std::move(ticket));
   }
-  places_.emplace(tag, place);
+  locations_.emplace(tag, location);
 }
 
 std::vector<Refusal> Queue::Impl::Push(TimePoint now, Ticket ticket) {
   Advance(now);
   if (ticket.enqueued == TimePoint()) ticket.enqueued = now;
   std::vector<Refusal> refused;
-  if (const auto reason = Judge(now, ticket)) {
-    refused.push_back(Refuse(now, ticket, *reason));
+  if (const auto reason = ReasonToRefuse(now, ticket)) {
+    refused.push_back(MakeRefusal(now, ticket, *reason));
     return refused;
   }
   if (size() >= limit_) {
-    const auto victim = Victim(ticket);
-    if (!victim.has_value()) {
-      refused.push_back(Refuse(now, ticket, Reason::kOverloaded));
+    const auto candidate = EvictionCandidate(ticket);
+    if (!candidate.has_value()) {
+      refused.push_back(MakeRefusal(now, ticket, Reason::kOverloaded));
       return refused;
     }
-    refused.push_back(RefuseWaiting(now, *victim, Reason::kOverloaded));
+    refused.push_back(RefuseQueued(now, *candidate, Reason::kOverloaded));
   }
   Insert(now, std::move(ticket));
   return refused;
 }
 
-void Queue::Impl::Forget(const Ticket& ticket) {
-  places_.erase(ticket.tag);
+void Queue::Impl::EraseIndexes(const Ticket& ticket) {
+  locations_.erase(ticket.tag);
   deadlines_.erase({ticket.deadline, ticket.tag});
-  const auto line = lines_.find(ticket.workspace);
-  if (line != lines_.end() && line->second.tickets.empty()) {
-    lines_.erase(line);
+  const auto queue = queues_.find(ticket.workspace);
+  if (queue != queues_.end() && queue->second.tickets.empty()) {
+    queues_.erase(queue);
   }
 }
 
-std::optional<Ticket> Queue::Impl::Take(const CanRun& can_run) {
-  for (auto& [priority, members] : classes_) {
-    Tickets& waiting = members.transactions;
+std::optional<Ticket> Queue::Impl::TakeNext(const TicketPredicate& can_run) {
+  for (auto& [priority, priority_class] : classes_) {
+    Tickets& waiting = priority_class.transactions;
     const auto next = std::find_if(waiting.begin(), waiting.end(), can_run);
     if (next == waiting.end()) continue;
     Ticket taken = std::move(*next);
     waiting.erase(next);
-    --transactions_;
+    --transaction_tickets_;
     return taken;
   }
-  for (auto& [priority, members] : classes_) {
-    auto taken = members.Take(can_run);
+  for (auto& [priority, priority_class] : classes_) {
+    auto taken = priority_class.TakeNext(can_run);
     if (taken.has_value()) return taken;
   }
   return std::nullopt;
@@ -156,27 +157,28 @@
 
 // `Expire` handles tickets past their deadline: running one would spend
 // capacity on an answer that no caller waits for.
-std::optional<Ticket> Queue::Impl::Pop(TimePoint now, const CanRun& can_run) {
+std::optional<Ticket> Queue::Impl::Pop(TimePoint now,
+                                       const TicketPredicate& can_run) {
   Advance(now);
-  auto taken = Take([now, &can_run](const Ticket& ticket) {
+  auto taken = TakeNext([now, &can_run](const Ticket& ticket) {
     return ticket.deadline > now && can_run(ticket);
   });
-  if (taken.has_value()) Forget(*taken);
+  if (taken.has_value()) EraseIndexes(*taken);
   return taken;
 }
 
 bool Queue::Impl::Remove(uint64_t tag) {
-  const auto found = places_.find(tag);
-  if (found == places_.end()) return false;
-  const Place place = found->second;
-  const Ticket ticket = *place.ticket;
-  if (place.line == nullptr) {
-    place.home->transactions.erase(place.ticket);
-    --transactions_;
+  const auto found = locations_.find(tag);
+  if (found == locations_.end()) return false;
+  const Location location = found->second;
+  const Ticket ticket = *location.ticket;
+  if (location.queue == nullptr) {
+    location.owner->transactions.erase(location.ticket);
+    --transaction_tickets_;
   } else {
-    place.line->home->Remove(place.line, place.ticket);
+    location.queue->owner->Remove(location.queue, location.ticket);
   }
-  Forget(ticket);
+  EraseIndexes(ticket);
   return true;
 }
 
@@ -185,47 +187,47 @@
   std::vector<Refusal> refused;
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
     const uint64_t tag = deadlines_.begin()->second;
-    refused.push_back(RefuseWaiting(now, tag, Reason::kDeadline));
+    refused.push_back(RefuseQueued(now, tag, Reason::kDeadline));
   }
   if (now < next_sweep_) return refused;
   next_sweep_ = now + kSweepInterval;
   for (const uint64_t tag : LateTickets(now)) {
-    refused.push_back(RefuseWaiting(now, tag, Reason::kOverloaded));
+    refused.push_back(RefuseQueued(now, tag, Reason::kOverloaded));
   }
   return refused;
 }
 
 std::vector<Refusal> Queue::Impl::Drop(TimePoint now, Reason reason,
-                                       const CanRun& drop) {
+                                       const TicketPredicate& drop) {
   Advance(now);
   std::vector<uint64_t> tags;
   for (const auto& [deadline, tag] : deadlines_) {
-    if (drop(*places_.at(tag).ticket)) tags.push_back(tag);
+    if (drop(*locations_.at(tag).ticket)) tags.push_back(tag);
   }
   std::vector<Refusal> refused;
   refused.reserve(tags.size());
   for (const uint64_t tag : tags) {
-    refused.push_back(RefuseWaiting(now, tag, reason));
+    refused.push_back(RefuseQueued(now, tag, reason));
   }
   return refused;
 }
 
 void Queue::Impl::SetWorking(TimePoint now, bool working) {
   Advance(now);
-  working_ = working;
+  statements_running_ = working;
 }
 
 void Queue::Impl::Finished(TimePoint now) {
   Advance(now);
-  usual_.Finished(now, size() > 0);
-  if (size() > 0) drain_.Finished();
+  typical_rate_.Finished(now, size() > 0);
+  if (size() > 0) drain_rate_.Finished();
 }
 
 std::vector<std::string> Queue::Impl::Waiting() const {
   std::set<std::string> names;
-  for (const auto& [workspace, line] : lines_) names.insert(workspace);
-  for (const auto& [priority, members] : classes_) {
-    for (const Ticket& ticket : members.transactions) {
+  for (const auto& [workspace, queue] : queues_) names.insert(workspace);
+  for (const auto& [priority, priority_class] : classes_) {
+    for (const Ticket& ticket : priority_class.transactions) {
       names.insert(ticket.workspace);
     }
   }
--- a/src/libcore/admission/queue_impl.h
+++ b/src/libcore/admission/queue_impl.h
@@ -20,91 +20,95 @@
 namespace ryefold::core::admission {
 
 /// Class of workspaces without a policy: lowest priority.
-inline constexpr uint32_t kLastClass = std::numeric_limits<uint32_t>::max();
+inline constexpr uint32_t kLowestPriority =
+    std::numeric_limits<uint32_t>::max();
 
 class Queue::Impl {
  public:
-  explicit Impl(uint64_t seed) : plan_(seed) {}
+  explicit Impl(uint64_t seed) : retry_after_(seed) {}
 
   void SetPolicies(const std::vector<WorkspacePolicy>& workspaces,
                    uint32_t limit);
   std::vector<Refusal> Push(TimePoint now, Ticket ticket);
-  std::optional<Ticket> Pop(TimePoint now, const CanRun& can_run);
+  std::optional<Ticket> Pop(TimePoint now, const TicketPredicate& can_run);
   std::vector<Refusal> Expire(TimePoint now);
   bool Remove(uint64_t tag);
-  std::vector<Refusal> Drop(TimePoint now, Reason reason, const CanRun& drop);
+  std::vector<Refusal> Drop(TimePoint now, Reason reason,
+                            const TicketPredicate& drop);
   void SetWorking(TimePoint now, bool working);
-  void SetRate(double per_second) { given_rate_ = per_second; }
+  void SetRate(double per_second) { external_rate_ = per_second; }
   void Finished(TimePoint now);
   std::chrono::milliseconds ExpectedWait(TimePoint now,
                                          const std::string& workspace) const;
   std::vector<std::string> Waiting() const;
-  size_t size() const { return places_.size(); }
+  size_t size() const { return locations_.size(); }
   TimePoint next_deadline() const {
     return deadlines_.empty() ? TimePoint::max() : deadlines_.begin()->first;
   }
 
  private:
-  struct Place {
-    PriorityClass* home = nullptr;
+  struct Location {
+    PriorityClass* owner = nullptr;
     /// Null for a ticket of an open transaction.
-    Line* line = nullptr;
+    WorkspaceQueue* queue = nullptr;
     Tickets::iterator ticket;
   };
 
   struct Policy {
-    uint32_t priority = kLastClass;
+    uint32_t priority = kLowestPriority;
     double weight = 1;
   };
 
   /// Position at which a new ticket of a workspace would be inserted.
-  struct Standing {
-    uint32_t priority = kLastClass;
+  struct InsertionPoint {
+    uint32_t priority = kLowestPriority;
     double weight = 1;
-    size_t waiting = 0;
+    size_t queued = 0;
   };
 
-  Policy PolicyOf(const std::string& workspace) const;
-  Standing StandingOf(const std::string& workspace) const;
-  Line* LineOf(const std::string& workspace);
-  std::optional<Reason> Judge(TimePoint now, const Ticket& ticket) const;
-  std::optional<uint64_t> Victim(const Ticket& ticket) const;
+  Policy PolicyFor(const std::string& workspace) const;
+  InsertionPoint InsertionPointFor(const std::string& workspace) const;
+  WorkspaceQueue* QueueFor(const std::string& workspace);
+  std::optional<Reason> ReasonToRefuse(TimePoint now,
+                                       const Ticket& ticket) const;
+  std::optional<uint64_t> EvictionCandidate(const Ticket& ticket) const;
   void Insert(TimePoint now, Ticket ticket);
-  std::optional<Ticket> Take(const CanRun& can_run);
-  void Forget(const Ticket& ticket);
+  std::optional<Ticket> TakeNext(const TicketPredicate& can_run);
+  void EraseIndexes(const Ticket& ticket);
   std::vector<uint64_t> LateTickets(TimePoint now) const;
-  void Advance(TimePoint now) { drain_.Advance(now, busy()); }
-  bool busy() const { return working_ && size() > 0; }
+  void Advance(TimePoint now) { drain_rate_.Advance(now, IsBusy()); }
+  bool IsBusy() const { return statements_running_ && size() > 0; }
 
-  double AheadOfClass(uint32_t priority) const;
-  double Ahead(const Standing& standing) const;
-  std::optional<double> PresentRate(TimePoint now) const;
-  std::optional<double> UsualPerSecond() const;
-  std::optional<double> PartOf(std::optional<double> rate, TimePoint now,
-                               uint32_t priority) const;
-  double WaitSeconds(TimePoint now, const Standing& standing) const;
-  Refusal Refuse(TimePoint now, const Ticket& ticket, Reason reason);
-  Refusal RefuseWaiting(TimePoint now, uint64_t tag, Reason reason);
+  double TicketsAheadOfClass(uint32_t priority) const;
+  double TicketsAhead(const InsertionPoint& insertion) const;
+  std::optional<double> CurrentDrainRate(TimePoint now) const;
+  std::optional<double> TypicalDrainRate() const;
+  std::optional<double> RateForClass(std::optional<double> rate, TimePoint now,
+                                     uint32_t priority) const;
+  double EstimateWaitSeconds(TimePoint now,
+                             const InsertionPoint& insertion) const;
+  Refusal MakeRefusal(TimePoint now, const Ticket& ticket, Reason reason);
+  Refusal RefuseQueued(TimePoint now, uint64_t tag, Reason reason);
 
   uint32_t limit_ = 0;
-  uint64_t next_line_ = 0;
+  uint64_t next_queue_id_ = 0;
   std::unordered_map<std::string, Policy> policies_;
   std::map<uint32_t, PriorityClass> classes_;
-  std::unordered_map<std::string, Line> lines_;
-  std::unordered_map<uint64_t, Place> places_;
+  std::unordered_map<std::string, WorkspaceQueue> queues_;
+  std::unordered_map<uint64_t, Location> locations_;
   std::set<std::pair<TimePoint, uint64_t>> deadlines_;
-  size_t transactions_ = 0;
+  size_t transaction_tickets_ = 0;
   /// Until `SetStatementsRunning` is called, queued tickets are assumed to wait
   /// for capacity.
-  bool working_ = true;
-  DrainRate drain_;
+  bool statements_running_ = true;
+  DrainRate drain_rate_;
   /// Set by `SetDrainRate`; overrides the measured rate.
-  std::optional<double> given_rate_;
+  std::optional<double> external_rate_;
   /// Typical rate, used for retry delays. By the current rate, callers refused
   /// while nothing is served would get long delays, and the group would be half
   /// idle after its recovery.
-  UsualRate usual_;
-  ReturnPlan plan_;
+  TypicalRate typical_rate_;
+  ReturnPlan retry_after_;
   TimePoint next_sweep_ = TimePoint::min();
 };
 
--- a/src/libcore/admission/rates.h
+++ b/src/libcore/admission/rates.h
@@ -23,9 +23,9 @@
   std::optional<double> per_second() const;
 
  private:
-  TimePoint at_;
+  TimePoint updated_at_;
   bool started_ = false;
-  uint64_t total_ = 0;
+  uint64_t total_finished_ = 0;
   double finished_ = 0;
   double busy_seconds_ = 0;
 };
@@ -34,16 +34,16 @@
 /// intervals between statements that finish while tickets are queued. A period
 /// in which nothing finishes has little weight, so that an outage does not
 /// appear as low capacity.
-class UsualRate {
+class TypicalRate {
  public:
   /// Records a finished statement; `busy` is true if tickets were queued.
   void Finished(TimePoint now, bool busy);
   std::optional<double> per_second() const;
 
  private:
-  std::optional<TimePoint> last_;
-  uint64_t pauses_ = 0;
-  double mean_seconds_ = 0;
+  std::optional<TimePoint> last_finished_at_;
+  uint64_t intervals_ = 0;
+  double mean_interval_ = 0;
 };
 
 /// Arrivals per second, with exponential decay.
@@ -53,9 +53,9 @@
   double per_second(TimePoint now) const;
 
  private:
-  double Faded(TimePoint now) const;
+  double Decayed(TimePoint now) const;
 
-  TimePoint at_;
+  TimePoint updated_at_;
   double count_ = 0;
 };
 
--- a/src/libcore/admission/retry_budget.cc
+++ b/src/libcore/admission/retry_budget.cc
@@ -4,11 +4,13 @@
 
 namespace ryefold::core::admission {
 
-void RetryBudget::FirstTry() { saved_ = std::min(burst_, saved_ + ratio_); }
+void RetryBudget::FirstTry() {
+  available_ = std::min(burst_, available_ + ratio_);
+}
 
 bool RetryBudget::TakeRetry() {
-  if (saved_ < 1) return false;
-  saved_ -= 1;
+  if (available_ < 1) return false;
+  available_ -= 1;
   return true;
 }
 
--- a/src/libcore/admission/return_plan.cc
+++ b/src/libcore/admission/return_plan.cc
@@ -9,36 +9,37 @@
 
 /// Fraction of the drain rate for returning callers; the rest is left to new
 /// ones.
-constexpr double kReturnShare = 0.5;
-constexpr milliseconds kSoonest{20};
-constexpr milliseconds kLatest{10000};
+constexpr double kRetryShare = 0.5;
+constexpr milliseconds kMinDelay{20};
+constexpr milliseconds kMaxDelay{10000};
 /// Range of the delay while the drain rate is unknown.
-constexpr milliseconds kUnmeasuredLow{50};
-constexpr milliseconds kUnmeasuredHigh{150};
+constexpr milliseconds kUnmeasuredMin{50};
+constexpr milliseconds kUnmeasuredMax{150};
 
-TimePoint::duration Seconds(double seconds) {
-  const double most = std::chrono::duration<double>(2 * kLatest).count();
+TimePoint::duration ToDuration(double seconds) {
+  const double max_seconds =
+      std::chrono::duration<double>(2 * kMaxDelay).count();
   return std::chrono::duration_cast<TimePoint::duration>(
-      std::chrono::duration<double>(std::min(seconds, most)));
+      std::chrono::duration<double>(std::min(seconds, max_seconds)));
 }
 
 }  // namespace
 
-milliseconds ReturnPlan::Between(milliseconds low, milliseconds high) {
+milliseconds ReturnPlan::RandomBetween(milliseconds low, milliseconds high) {
   std::uniform_int_distribution<int64_t> spread(low.count(), high.count());
   return milliseconds(spread(random_));
 }
 
 milliseconds ReturnPlan::Next(TimePoint now, std::optional<double> rate,
-                              double ahead, TimePoint* promised) {
-  if (!rate.has_value()) return Between(kUnmeasuredLow, kUnmeasuredHigh);
-  const TimePoint drained = now + Seconds(ahead / *rate);
-  *promised =
-      std::max(*promised, drained) + Seconds(1 / (*rate * kReturnShare));
-  *promised = std::min(*promised, now + kLatest);
-  const auto wait = std::chrono::ceil<milliseconds>(*promised - now);
-  if (wait >= kLatest) return Between(kLatest / 2, kLatest);
-  return std::max(kSoonest, Between(wait - wait / 4, wait + wait / 4));
+                              double ahead, TimePoint* last_retry_at) {
+  if (!rate.has_value()) return RandomBetween(kUnmeasuredMin, kUnmeasuredMax);
+  const TimePoint drained_at = now + ToDuration(ahead / *rate);
+  *last_retry_at = std::max(*last_retry_at, drained_at) +
+                   ToDuration(1 / (*rate * kRetryShare));
+  *last_retry_at = std::min(*last_retry_at, now + kMaxDelay);
+  const auto wait = std::chrono::ceil<milliseconds>(*last_retry_at - now);
+  if (wait >= kMaxDelay) return RandomBetween(kMaxDelay / 2, kMaxDelay);
+  return std::max(kMinDelay, RandomBetween(wait - wait / 4, wait + wait / 4));
 }
 
 }  // namespace ryefold::core::admission
--- a/src/libcore/admission/shares.cc
+++ b/src/libcore/admission/shares.cc
@@ -18,15 +18,15 @@
   }
   std::erase_if(entries_, [](const auto& item) {
     const Entry& entry = item.second;
-    return entry.share == 0 && entry.held == 0 && entry.wants == 0;
+    return entry.share == 0 && entry.held == 0 && entry.waiting_requests == 0;
   });
   reserved_ = 0;
   for (const auto& [name, entry] : entries_) {
-    if (entry.wants > 0) reserved_ += entry.unmet();
+    if (entry.waiting_requests > 0) reserved_ += entry.unused_share();
   }
 }
 
-const ConnectionShares::Entry& ConnectionShares::Find(
+const ConnectionShares::Entry& ConnectionShares::FindEntry(
     const std::string& workspace) const {
   static const Entry none;
   const auto found = entries_.find(workspace);
@@ -34,61 +34,64 @@
 }
 
 template <class Change>
-void ConnectionShares::Apply(const std::string& workspace, Change change) {
+void ConnectionShares::Update(const std::string& workspace, Change change) {
   Entry& entry = entries_[workspace];
-  if (entry.wants > 0) reserved_ -= entry.unmet();
+  if (entry.waiting_requests > 0) reserved_ -= entry.unused_share();
   change(&entry);
-  if (entry.wants > 0) reserved_ += entry.unmet();
-  const bool used = entry.share > 0 || entry.held > 0 || entry.wants > 0;
+  if (entry.waiting_requests > 0) reserved_ += entry.unused_share();
+  const bool used =
+      entry.share > 0 || entry.held > 0 || entry.waiting_requests > 0;
   if (!used) entries_.erase(workspace);
 }
 
 /// Within its share a workspace takes any free connection. Beyond its share it
 /// borrows only connections that are not reserved for other workspaces.
-bool ConnectionShares::Fits(const Entry& entry, uint32_t reserved) const {
+bool ConnectionShares::IsGrantable(const Entry& entry,
+                                   uint32_t reserved) const {
   if (total_held_ >= usable_) return false;
-  if (entry.unmet() > 0) return true;
+  if (entry.unused_share() > 0) return true;
   return usable_ - total_held_ > reserved;
 }
 
-bool ConnectionShares::MayTake(const std::string& workspace,
-                               const std::vector<std::string>& wanted) const {
+bool ConnectionShares::MayTake(
+    const std::string& workspace,
+    const std::vector<std::string>& contending) const {
   uint32_t reserved = 0;
-  for (const std::string& name : wanted) {
-    if (name != workspace) reserved += Find(name).unmet();
+  for (const std::string& name : contending) {
+    if (name != workspace) reserved += FindEntry(name).unused_share();
   }
-  return Fits(Find(workspace), reserved);
+  return IsGrantable(FindEntry(workspace), reserved);
 }
 
 // A workspace that has used up its share adds nothing to `reserved_`, so
 // `reserved_` covers only other workspaces.
 bool ConnectionShares::MayTake(const std::string& workspace) const {
-  return Fits(Find(workspace), reserved_);
+  return IsGrantable(FindEntry(workspace), reserved_);
 }
 
 void ConnectionShares::Want(const std::string& workspace) {
-  Apply(workspace, [](Entry* entry) { ++entry->wants; });
+  Update(workspace, [](Entry* entry) { ++entry->waiting_requests; });
 }
 
 void ConnectionShares::Unwant(const std::string& workspace) {
-  Apply(workspace, [](Entry* entry) {
-    if (entry->wants > 0) --entry->wants;
+  Update(workspace, [](Entry* entry) {
+    if (entry->waiting_requests > 0) --entry->waiting_requests;
   });
 }
 
 void ConnectionShares::Take(const std::string& workspace) {
-  Apply(workspace, [](Entry* entry) { ++entry->held; });
+  Update(workspace, [](Entry* entry) { ++entry->held; });
   ++total_held_;
 }
 
 void ConnectionShares::Release(const std::string& workspace) {
   if (held(workspace) == 0) return;
-  Apply(workspace, [](Entry* entry) { --entry->held; });
+  Update(workspace, [](Entry* entry) { --entry->held; });
   --total_held_;
 }
 
 uint32_t ConnectionShares::held(const std::string& workspace) const {
-  return Find(workspace).held;
+  return FindEntry(workspace).held;
 }
 
 }  // namespace ryefold::core::admission
--- a/src/libcore/entry/backoff.h
+++ b/src/libcore/entry/backoff.h
@@ -17,21 +17,23 @@
       : first_(first), random_(seed) {}
 
   /// Returns the delay before the retry of this round, from 0.
-  std::chrono::milliseconds Pause(uint32_t round) {
-    return Spread(first_ * (1 << std::min(round, kMostDoublings)));
+  std::chrono::milliseconds Delay(uint32_t round) {
+    return Jitter(first_ * (1 << std::min(round, kMaxDoublings)));
   }
 
   /// Returns the retry delay for the caller of a request that is given up.
-  std::chrono::milliseconds RetryAfter() { return Spread(first_ * kReturn); }
+  std::chrono::milliseconds RetryAfter() {
+    return Jitter(first_ * kRetryAfterFactor);
+  }
 
  private:
-  static constexpr uint32_t kMostDoublings = 5;
-  static constexpr int kReturn = 10;
+  static constexpr uint32_t kMaxDoublings = 5;
+  static constexpr int kRetryAfterFactor = 10;
 
-  std::chrono::milliseconds Spread(std::chrono::milliseconds middle) {
+  std::chrono::milliseconds Jitter(std::chrono::milliseconds middle) {
     const int64_t half = std::max<int64_t>(middle.count() / 2, 1);
-    std::uniform_int_distribution<int64_t> spread(half, 3 * half);
-    return std::chrono::milliseconds(spread(random_));
+    std::uniform_int_distribution<int64_t> distribution(half, 3 * half);
+    return std::chrono::milliseconds(distribution(random_));
   }
 
   std::chrono::milliseconds first_;
--- a/src/libcore/entry/forwarder_events.cc
+++ b/src/libcore/entry/forwarder_events.cc
@@ -8,11 +8,11 @@
 /// Maximum number of lost copies of one request. A request that crashes its
 /// keeper would otherwise be sent from keeper to keeper, and each crash fails
 /// the requests of other callers.
-constexpr uint32_t kMaxLosses = 3;
+constexpr uint32_t kMaxLostCopies = 3;
 
 /// Returns true if the instance did not accept the call and another one may:
 /// the instance is leaving or does not have the current configuration yet.
-bool TurnsAway(const StatementAnswer& answer) {
+bool IsRetryableElsewhere(const StatementAnswer& answer) {
   return answer.reason() == Reason::kShuttingDown ||
          answer.reason() == Reason::kNotReady ||
          answer.reason() == Reason::kUnknownGroup;
@@ -20,7 +20,7 @@
 
 /// Returns true if the answer to a settle call is a final outcome. Other
 /// reasons for "not run" mean that the settle call itself was not carried out.
-bool Settles(const StatementAnswer& answer) {
+bool IsFinalOutcome(const StatementAnswer& answer) {
   if (answer.kind() == OutcomeKind::kDone) return true;
   return answer.kind() == OutcomeKind::kNotRun &&
          (answer.reason() == Reason::kFenced ||
@@ -31,7 +31,7 @@
 
 Forwarder::Impl::Impl(Ranking ranking, ForwarderTiming timing, uint64_t seed)
     : ranking_(std::move(ranking)),
-      hearing_(timing.patience, timing.probe_patience),
+      health_(timing.contact_timeout, timing.probe_timeout),
       backoff_(timing.backoff, seed),
       budget_(timing.retry_ratio, timing.retry_burst) {}
 
@@ -73,18 +73,18 @@
   if (found == calls_.end()) return;
   const Call call = found->second;
   calls_.erase(found);
-  Heard(call.instance);
+  RecordAnswer(call.instance);
   Pending* pending = &requests_.at(call.tag);
-  pending->open.erase(event.call);
-  pending->settles.erase(event.call);
-  if (call.settles) {
-    SettleAnswered(pending, event.answer, event.call == pending->watched);
+  pending->unanswered_copies.erase(event.call);
+  pending->settle_calls.erase(event.call);
+  if (call.is_settle) {
+    OnSettleAnswer(pending, event.answer, event.call == pending->watched_call);
   } else {
-    ForwardAnswered(pending, event.answer, event.call == pending->watched);
+    OnForwardAnswer(pending, event.answer, event.call == pending->watched_call);
   }
 }
 
-void Forwarder::Impl::ForwardAnswered(Pending* pending,
+void Forwarder::Impl::OnForwardAnswer(Pending* pending,
                                       const StatementAnswer& answer,
                                       bool latest) {
   const bool settling = pending->phase == Phase::kSettling;
@@ -94,22 +94,23 @@
   }
   if (answer.kind() == OutcomeKind::kUnknown) {
     if (settling) {
-      pending->lost = true;
+      pending->outcome_lost = true;
     } else {
       Finish(pending, answer);
     }
     return;
   }
   // "Not run" covers this copy only; another copy may still run.
-  const bool others = !pending->open.empty() || pending->lost;
+  const bool others =
+      !pending->unanswered_copies.empty() || pending->outcome_lost;
   if (settling) {
     if (!others) Finish(pending, answer);
     return;
   }
   // A refusal of an older copy does not end the request; the newer copy goes
   // on.
-  if (!latest && !pending->open.empty()) return;
-  if (TurnsAway(answer) && !pending->in_transaction()) {
+  if (!latest && !pending->unanswered_copies.empty()) return;
+  if (IsRetryableElsewhere(answer) && !pending->in_transaction()) {
     SendNext(pending);
   } else if (others) {
     FinishUnknown(pending, Reason::kInstanceLost);
@@ -118,20 +119,20 @@
   }
 }
 
-void Forwarder::Impl::SettleAnswered(Pending* pending,
+void Forwarder::Impl::OnSettleAnswer(Pending* pending,
                                      const StatementAnswer& answer,
                                      bool latest) {
-  if (Settles(answer)) {
+  if (IsFinalOutcome(answer)) {
     Finish(pending, answer);
     return;
   }
   // The next settle call is already in flight or scheduled.
   if (!latest) return;
-  pending->watched = 0;
-  if (TurnsAway(answer)) {
+  pending->watched_call = 0;
+  if (IsRetryableElsewhere(answer)) {
     SendNext(pending);
   } else {
-    RetryLater(pending, answer.reason());
+    RetryOrGiveUp(pending, answer.reason());
   }
 }
 
@@ -140,26 +141,28 @@
   if (found == calls_.end()) return;
   const Call call = found->second;
   calls_.erase(found);
-  Failed(call.instance);
+  RecordFailure(call.instance);
   Pending* pending = &requests_.at(call.tag);
-  pending->open.erase(event.call);
-  pending->settles.erase(event.call);
-  const bool latest = event.call == pending->watched;
-  if (call.settles) {
-    if (latest) RetryLater(pending, Reason::kInstanceLost);
+  pending->unanswered_copies.erase(event.call);
+  pending->settle_calls.erase(event.call);
+  const bool latest = event.call == pending->watched_call;
+  if (call.is_settle) {
+    if (latest) RetryOrGiveUp(pending, Reason::kInstanceLost);
   } else if (event.may_have_arrived) {
-    pending->lost = true;
-    ++pending->losses;
-    MayBeLost(pending);
+    pending->outcome_lost = true;
+    ++pending->lost_copies;
+    OnCopyLost(pending);
   } else {
-    NeverArrived(pending);
+    OnCopyNotDelivered(pending);
   }
 }
 
-void Forwarder::Impl::On(const ProbeAnswered& event) { Heard(event.instance); }
+void Forwarder::Impl::On(const ProbeAnswered& event) {
+  RecordAnswer(event.instance);
+}
 
 /// Handles a copy that certainly did not arrive.
-void Forwarder::Impl::NeverArrived(Pending* pending) {
+void Forwarder::Impl::OnCopyNotDelivered(Pending* pending) {
   if (pending->phase == Phase::kSettling) {
     Reschedule(pending);
     return;
@@ -174,8 +177,8 @@
   }
   // Only the instance that holds the transaction can run the step. The step is
   // retried once, because the failure may affect only the connection.
-  if (pending->rounds == 0 && PlanRetry(pending)) return;
-  if (pending->commits()) {
+  if (pending->retry_rounds == 0 && ScheduleRetry(pending)) return;
+  if (pending->is_commit()) {
     // An earlier attempt of the caller may have sent this commit.
     BeginSettling(pending);
   } else {
@@ -184,44 +187,44 @@
 }
 
 /// Handles a copy that may have arrived and will not be answered.
-void Forwarder::Impl::MayBeLost(Pending* pending) {
-  const bool waits_elsewhere = pending->phase == Phase::kSettling ||
-                               !pending->open.empty() ||
-                               pending->retry_at != TimePoint::max();
-  if (waits_elsewhere) {
+void Forwarder::Impl::OnCopyLost(Pending* pending) {
+  const bool has_other_call = pending->phase == Phase::kSettling ||
+                              !pending->unanswered_copies.empty() ||
+                              pending->retry_at != TimePoint::max();
+  if (has_other_call) {
     Reschedule(pending);
     return;
   }
-  FindOut(pending);
+  ResolveOutcome(pending);
 }
 
 /// Handles an instance that holds the watched copy and has not answered any
 /// call within the contact and probe timeouts.
-void Forwarder::Impl::FellSilent(Pending* pending) {
-  const bool step_inside = pending->in_transaction() && !pending->commits();
+void Forwarder::Impl::OnKeeperUnreachable(Pending* pending) {
+  const bool inner_step = pending->in_transaction() && !pending->is_commit();
   const bool read = pending->request.kind == StatementKind::kRead;
   const bool repeatable = pending->request.repeatable;
   // No other instance can serve or settle these; the answer may still arrive.
-  if (step_inside || (read && !repeatable && !pending->commits())) {
+  if (inner_step || (read && !repeatable && !pending->is_commit())) {
     Reschedule(pending);
     return;
   }
-  FindOut(pending);
+  ResolveOutcome(pending);
 }
 
 /// Settles, retries or ends a request whose copies are not expected to be
 /// answered.
-void Forwarder::Impl::FindOut(Pending* pending) {
+void Forwarder::Impl::ResolveOutcome(Pending* pending) {
   const StatementRequest& request = pending->request;
-  const bool recorded =
-      pending->commits() ||
+  const bool is_recorded =
+      pending->is_commit() ||
       (!pending->in_transaction() && request.step == Step::kStatement &&
        request.kind == StatementKind::kWrite && !request.repeatable);
-  if (recorded) {
+  if (is_recorded) {
     BeginSettling(pending);
   } else if (request.repeatable && !pending->in_transaction() &&
-             pending->losses < kMaxLosses) {
-    RetryLater(pending, Reason::kInstanceLost);
+             pending->lost_copies < kMaxLostCopies) {
+    RetryOrGiveUp(pending, Reason::kInstanceLost);
   } else {
     FinishUnknown(pending, Reason::kInstanceLost);
   }
@@ -229,22 +232,22 @@
 
 void Forwarder::Impl::On(const Tick& /*event*/) {
   while (!due_.empty() && due_.begin()->first <= now_) {
-    LookAt(&requests_.at(due_.begin()->second));
+    ProcessDue(&requests_.at(due_.begin()->second));
   }
 }
 
-bool Forwarder::Impl::StillWaits(Pending* pending, const Call& call) {
-  const Hearing::Verdict verdict =
-      hearing_.Judge(now_, call.instance, call.sent);
-  if (verdict == Hearing::Verdict::kDoubt) return false;
-  if (verdict == Hearing::Verdict::kProbe) {
+bool Forwarder::Impl::ContinueWaiting(Pending* pending, const Call& call) {
+  const PeerHealth::CallState state =
+      health_.Evaluate(now_, call.instance, call.sent);
+  if (state == PeerHealth::CallState::kSuspected) return false;
+  if (state == PeerHealth::CallState::kProbe) {
     actions_->push_back(Probe{call.instance});
   }
   Reschedule(pending);
   return true;
 }
 
-void Forwarder::Impl::LookAt(Pending* pending) {
+void Forwarder::Impl::ProcessDue(Pending* pending) {
   if (pending->request.deadline <= now_) {
     GiveUp(pending, Reason::kDeadline);
     return;
@@ -254,19 +257,19 @@
     SendNext(pending);
     return;
   }
-  const auto watched = calls_.find(pending->watched);
+  const auto watched = calls_.find(pending->watched_call);
   if (watched == calls_.end()) {
     Reschedule(pending);
     return;
   }
   const Call call = watched->second;
-  if (StillWaits(pending, call)) return;
-  pending->watched = 0;
-  if (!pending->in_transaction()) Failed(call.instance);
-  if (call.settles) {
-    RetryLater(pending, Reason::kInstanceLost);
+  if (ContinueWaiting(pending, call)) return;
+  pending->watched_call = 0;
+  if (!pending->in_transaction()) RecordFailure(call.instance);
+  if (call.is_settle) {
+    RetryOrGiveUp(pending, Reason::kInstanceLost);
   } else {
-    FellSilent(pending);
+    OnKeeperUnreachable(pending);
   }
 }
 
--- a/src/libcore/entry/forwarder_impl.h
+++ b/src/libcore/entry/forwarder_impl.h
@@ -30,28 +30,29 @@
   StatementRequest request;
   Phase phase = Phase::kForwarding;
   /// Forwarded copies without an answer.
-  std::set<CallId> open;
+  std::set<CallId> unanswered_copies;
   /// True if a copy may have arrived and its outcome will not be reported.
-  bool lost = false;
+  bool outcome_lost = false;
   /// Settle calls without an answer.
-  std::set<CallId> settles;
+  std::set<CallId> settle_calls;
   /// Call monitored for timeouts: the last copy, or the last settle call.
-  CallId watched = 0;
+  CallId watched_call = 0;
   /// Instances tried since the last start from the top of the ranking.
   std::vector<std::string> tried;
-  uint32_t rounds = 0;
+  uint32_t retry_rounds = 0;
   /// Number of copies lost because their instance failed.
-  uint32_t losses = 0;
+  uint32_t lost_copies = 0;
   /// Time of the next retry; `TimePoint::max()` if none is scheduled.
   TimePoint retry_at = TimePoint::max();
   /// Time of the next check of this request.
   TimePoint due = TimePoint::max();
 
   bool in_transaction() const { return !request.transaction.empty(); }
-  bool commits() const { return request.step == Step::kCommit; }
+  bool is_commit() const { return request.step == Step::kCommit; }
   /// Returns true if no copy has run or can still run.
-  bool surely_not_run() const {
-    return phase == Phase::kForwarding && open.empty() && !lost;
+  bool is_certainly_not_run() const {
+    return phase == Phase::kForwarding && unanswered_copies.empty() &&
+           !outcome_lost;
   }
 };
 
@@ -68,7 +69,7 @@
     RequestTag tag = 0;
     std::string instance;
     TimePoint sent;
-    bool settles = false;
+    bool is_settle = false;
   };
 
   void On(const RequestArrived& event);
@@ -82,23 +83,23 @@
   void SendNext(Pending* pending);
   std::optional<std::string> NextTarget(Pending* pending) const;
   void Send(Pending* pending, const std::string& instance);
-  void EndOfWalk(Pending* pending);
-  bool PlanRetry(Pending* pending);
-  void RetryLater(Pending* pending, Reason reason);
+  void RestartRanking(Pending* pending);
+  bool ScheduleRetry(Pending* pending);
+  void RetryOrGiveUp(Pending* pending, Reason reason);
   void BeginSettling(Pending* pending);
 
   // Answers and failures.
-  void ForwardAnswered(Pending* pending, const StatementAnswer& answer,
+  void OnForwardAnswer(Pending* pending, const StatementAnswer& answer,
                        bool latest);
-  void SettleAnswered(Pending* pending, const StatementAnswer& answer,
+  void OnSettleAnswer(Pending* pending, const StatementAnswer& answer,
                       bool latest);
-  void NeverArrived(Pending* pending);
-  void MayBeLost(Pending* pending);
-  void FellSilent(Pending* pending);
-  void FindOut(Pending* pending);
+  void OnCopyNotDelivered(Pending* pending);
+  void OnCopyLost(Pending* pending);
+  void OnKeeperUnreachable(Pending* pending);
+  void ResolveOutcome(Pending* pending);
 
   // Timers.
-  void LookAt(Pending* pending);
+  void ProcessDue(Pending* pending);
   void Reschedule(Pending* pending);
 
   // Final answers.
@@ -107,12 +108,12 @@
   void GiveUp(Pending* pending, Reason reason);
   void Remove(Pending* pending);
 
-  bool StillWaits(Pending* pending, const Call& call);
-  void Heard(const std::string& instance);
-  void Failed(const std::string& instance);
+  bool ContinueWaiting(Pending* pending, const Call& call);
+  void RecordAnswer(const std::string& instance);
+  void RecordFailure(const std::string& instance);
 
   Ranking ranking_;
-  Hearing hearing_;
+  PeerHealth health_;
   Backoff backoff_;
   admission::RetryBudget budget_;
   std::unordered_map<RequestTag, Pending> requests_;
--- a/src/libcore/entry/hearing.cc
+++ b/src/libcore/entry/hearing.cc
@@ -11,52 +11,54 @@
 
 }  // namespace
 
-bool Hearing::Heard(TimePoint now, const std::string& instance) {
+bool PeerHealth::OnAnswer(TimePoint now, const std::string& instance) {
   if (records_.size() >= kMaxRecords) records_.clear();
   Record& record = records_[instance];
-  record.heard = std::max(record.heard, now);
+  record.last_contact = std::max(record.last_contact, now);
   const bool suspected = record.suspected;
   record.suspected = false;
   return suspected;
 }
 
-bool Hearing::Failed(TimePoint now, const std::string& instance) {
+bool PeerHealth::OnFailure(TimePoint now, const std::string& instance) {
   if (records_.size() >= kMaxRecords) records_.clear();
   Record& record = records_[instance];
-  if (record.suspected && now < record.tell_again_at) return false;
+  if (record.suspected && now < record.next_report_at) return false;
   record.suspected = true;
-  record.tell_again_at = now + patience_;
+  record.next_report_at = now + contact_timeout_;
   return true;
 }
 
-TimePoint Hearing::SilentAt(const Record* record, TimePoint sent) const {
-  if (record == nullptr) return sent + patience_;
-  return std::max(sent, record->heard) + patience_;
+TimePoint PeerHealth::TimeoutAt(const Record* record, TimePoint sent) const {
+  if (record == nullptr) return sent + contact_timeout_;
+  return std::max(sent, record->last_contact) + contact_timeout_;
 }
 
-Hearing::Verdict Hearing::Judge(TimePoint now, const std::string& instance,
-                                TimePoint sent) {
+PeerHealth::CallState PeerHealth::Evaluate(TimePoint now,
+                                           const std::string& instance,
+                                           TimePoint sent) {
   // A long statement on an otherwise idle entry causes no other answers,
   // although its keeper is healthy. If the keeper were suspected for that
   // alone, its queued writes would be fenced and answered "not run". The
   // keeper's own task answers probes while statements run; a frozen keeper does
   // not answer them.
   Record& record = records_[instance];
-  const TimePoint silent_at = SilentAt(&record, sent);
-  if (now < silent_at) return Verdict::kWait;
-  if (record.probe_until < silent_at) {
-    record.probe_until = now + probe_patience_;
-    return Verdict::kProbe;
+  const TimePoint timeout_at = TimeoutAt(&record, sent);
+  if (now < timeout_at) return CallState::kWait;
+  if (record.probe_deadline < timeout_at) {
+    record.probe_deadline = now + probe_timeout_;
+    return CallState::kProbe;
   }
-  return now < record.probe_until ? Verdict::kWait : Verdict::kDoubt;
+  return now < record.probe_deadline ? CallState::kWait : CallState::kSuspected;
 }
 
-TimePoint Hearing::JudgeAt(const std::string& instance, TimePoint sent) const {
+TimePoint PeerHealth::NextEvaluation(const std::string& instance,
+                                     TimePoint sent) const {
   const auto found = records_.find(instance);
   const Record* record = found == records_.end() ? nullptr : &found->second;
-  const TimePoint silent_at = SilentAt(record, sent);
-  if (record == nullptr) return silent_at;
-  return std::max(silent_at, record->probe_until);
+  const TimePoint timeout_at = TimeoutAt(record, sent);
+  if (record == nullptr) return timeout_at;
+  return std::max(timeout_at, record->probe_deadline);
 }
 
 }  // namespace ryefold::core::entry
--- a/src/libcore/entry/hearing.h
+++ b/src/libcore/entry/hearing.h
@@ -15,40 +15,42 @@
 /// that is queued or runs long does not indicate a failure while the instance
 /// answers other calls. Judged per request, a long queue would look like a
 /// failed keeper, and each queued request would be sent twice.
-class Hearing {
+class PeerHealth {
  public:
-  Hearing(std::chrono::milliseconds patience,
-          std::chrono::milliseconds probe_patience)
-      : patience_(patience), probe_patience_(probe_patience) {}
+  PeerHealth(std::chrono::milliseconds contact_timeout,
+             std::chrono::milliseconds probe_timeout)
+      : contact_timeout_(contact_timeout), probe_timeout_(probe_timeout) {}
 
   /// Records an answer. Returns true if the instance had been suspected.
-  bool Heard(TimePoint now, const std::string& instance);
+  bool OnAnswer(TimePoint now, const std::string& instance);
   /// Records a failure or timeout. Returns true if it should be reported, at
   /// most once per contact timeout.
-  bool Failed(TimePoint now, const std::string& instance);
+  bool OnFailure(TimePoint now, const std::string& instance);
   /// State of an unanswered call.
-  enum class Verdict : uint8_t {
-    kWait,   ///< Contact is recent, or a probe is in flight.
-    kProbe,  ///< The contact timeout has passed; a probe must be sent.
-    kDoubt,  ///< The contact timeout has passed and the probe was not answered.
+  enum class CallState : uint8_t {
+    kWait,       ///< Contact is recent, or a probe is in flight.
+    kProbe,      ///< The contact timeout has passed; a probe must be sent.
+    kSuspected,  ///< The contact timeout has passed and the probe was not
+                 ///< answered.
   };
-  Verdict Judge(TimePoint now, const std::string& instance, TimePoint sent);
+  CallState Evaluate(TimePoint now, const std::string& instance,
+                     TimePoint sent);
   /// Returns the time at which to evaluate that call again.
-  TimePoint JudgeAt(const std::string& instance, TimePoint sent) const;
+  TimePoint NextEvaluation(const std::string& instance, TimePoint sent) const;
 
  private:
   struct Record {
-    TimePoint heard;
+    TimePoint last_contact;
     bool suspected = false;
-    TimePoint tell_again_at;
+    TimePoint next_report_at;
     /// Deadline of the last probe.
-    TimePoint probe_until;
+    TimePoint probe_deadline;
   };
 
-  TimePoint SilentAt(const Record* record, TimePoint sent) const;
+  TimePoint TimeoutAt(const Record* record, TimePoint sent) const;
 
-  std::chrono::milliseconds patience_;
-  std::chrono::milliseconds probe_patience_;
+  std::chrono::milliseconds contact_timeout_;
+  std::chrono::milliseconds probe_timeout_;
   std::map<std::string, Record> records_;
 };
 
--- a/testsuite/admission_limits/limits_test.cc
+++ b/testsuite/admission_limits/limits_test.cc
@@ -27,7 +27,7 @@
 
 // One workspace holds all connections and requests each one that is released. A
 // workspace that waits for its share must get the next released connection.
-TEST(ConnectionShares, WhatIsLentComesBackToItsOwner) {
+TEST(ConnectionShares, BorrowedConnectionsReturnToTheirOwner) {
   ConnectionShares shares({Policy("a", 2), Policy("b", 3)}, 5);
   for (int i = 0; i < 5; ++i) shares.Take("a");
   shares.Release("a");
@@ -50,33 +50,33 @@
   const std::vector<std::string> names = {"a", "b", "c", "stranger"};
   ConnectionShares shares({Policy("a", 1), Policy("b", 2), Policy("c", 3)},
                           kUsable);
-  std::map<std::string, uint32_t> wants;
+  std::map<std::string, uint32_t> waiting_requests;
   const std::map<std::string, uint32_t> share = {
       {"a", 1}, {"b", 2}, {"c", 3}, {"stranger", 0}};
   const int steps = *rc::gen::inRange(1, 100);
   for (int step = 0; step < steps; ++step) {
     const std::string name = *rc::gen::elementOf(names);
-    std::vector<std::string> wanted;
+    std::vector<std::string> contending;
     uint32_t total = 0;
     for (const std::string& other : names) {
-      if (wants[other] > 0) wanted.push_back(other);
+      if (waiting_requests[other] > 0) contending.push_back(other);
       total += shares.held(other);
     }
     RC_ASSERT(total <= kUsable);
     switch (*rc::gen::inRange(0, 4)) {
       case 0:
         shares.Want(name);
-        ++wants[name];
+        ++waiting_requests[name];
         break;
       case 1:
         shares.Unwant(name);
-        if (wants[name] > 0) --wants[name];
+        if (waiting_requests[name] > 0) --waiting_requests[name];
         break;
       case 2:
         shares.Release(name);
         break;
       default:
-        RC_ASSERT(shares.MayTake(name) == shares.MayTake(name, wanted));
+        RC_ASSERT(shares.MayTake(name) == shares.MayTake(name, contending));
         if (shares.held(name) < share.at(name)) {
           RC_ASSERT(shares.MayTake(name) == (total < kUsable));
         }
--- a/testsuite/admission_overload/overload_test.cc
+++ b/testsuite/admission_overload/overload_test.cc
@@ -18,7 +18,7 @@
 using testing_support::Tally;
 using testing_support::TwiceTheLoad;
 
-double Part(uint64_t part, uint64_t whole) {
+double Fraction(uint64_t part, uint64_t whole) {
   return static_cast<double>(part) / static_cast<double>(whole);
 }
 
@@ -27,9 +27,9 @@
 TEST(TwiceTheLoadTest, TheHighestClassIsServedAsIfAlone) {
   Overload alone(TwiceTheLoad(false));
   alone.Run();
-  Overload crowded(TwiceTheLoad(true));
-  crowded.Run();
-  const Tally& gold = crowded.tally("gold");
+  Overload overloaded(TwiceTheLoad(true));
+  overloaded.Run();
+  const Tally& gold = overloaded.tally("gold");
   EXPECT_EQ(gold.refused, 0U);
   EXPECT_EQ(gold.in_time, gold.served);
   EXPECT_LE(Percentile(gold.answered, 0.99) * 2,
@@ -40,15 +40,15 @@
 // on arrival and not run; accepted ones must be answered in time, so that no
 // work is wasted.
 TEST(TwiceTheLoadTest, LowerClassesAreRefusedEarlyAndServedInTime) {
-  Overload crowded(TwiceTheLoad(true));
-  crowded.Run();
-  EXPECT_EQ(crowded.refused_and_run(), 0U);
-  const Tally& silver = crowded.tally("silver");
+  Overload overloaded(TwiceTheLoad(true));
+  overloaded.Run();
+  EXPECT_EQ(overloaded.refused_and_run(), 0U);
+  const Tally& silver = overloaded.tally("silver");
   EXPECT_EQ(silver.refused, 0U);
   for (const char* name : {"bronze1", "bronze3"}) {
-    const Tally& bronze = crowded.tally(name);
+    const Tally& bronze = overloaded.tally(name);
     EXPECT_GT(bronze.refused, 0U);
-    EXPECT_GE(Part(bronze.in_time, bronze.served), 0.99) << name;
+    EXPECT_GE(Fraction(bronze.in_time, bronze.served), 0.99) << name;
     EXPECT_EQ(Percentile(bronze.refusal, 0.9), microseconds(0)) << name;
     EXPECT_LT(Percentile(bronze.refusal, 1), milliseconds(1000)) << name;
   }
@@ -56,10 +56,10 @@
 
 TEST(TwiceTheLoadTest, NoCapacityIsLost) {
   const Scenario scenario = TwiceTheLoad(true);
-  Overload crowded(scenario);
-  crowded.Run();
-  const auto done =
-      static_cast<double>(crowded.in_time(milliseconds(2000), scenario.length));
+  Overload overloaded(scenario);
+  overloaded.Run();
+  const auto done = static_cast<double>(
+      overloaded.in_time(milliseconds(2000), scenario.length));
   const double seconds =
       std::chrono::duration<double>(scenario.length - milliseconds(2000))
           .count();
@@ -70,11 +70,11 @@
   Scenario scenario;
   scenario.loads.push_back(LoadOf(scenario, "one", 1, 1, 1.0));
   scenario.loads.push_back(LoadOf(scenario, "three", 1, 3, 1.0));
-  Overload crowded(scenario);
-  crowded.Run();
-  const uint64_t one = crowded.tally("one").served;
-  const uint64_t three = crowded.tally("three").served;
-  EXPECT_NEAR(Part(three, one + three), 0.75, 0.02);
+  Overload overloaded(scenario);
+  overloaded.Run();
+  const uint64_t one = overloaded.tally("one").served;
+  const uint64_t three = overloaded.tally("three").served;
+  EXPECT_NEAR(Fraction(three, one + three), 0.75, 0.02);
 }
 
 // Nothing is served for three seconds, then the group recovers. If all refused
--- a/testsuite/admission_overload/usual_demand_test.cc
+++ b/testsuite/admission_overload/usual_demand_test.cc
@@ -27,47 +27,48 @@
 }
 
 /// Records arrivals at these rates from `from` to `until`.
-void Send(UsualDemand* demand, milliseconds from, milliseconds until,
-          double many, double few) {
+void RecordArrivals(UsualDemand* demand, milliseconds from, milliseconds until,
+                    double many, double few) {
   for (milliseconds at = from; at < until; at += milliseconds(1)) {
     const auto due = [at](double rate) {
-      const auto pace = static_cast<int64_t>(1000 / rate);
-      return at.count() % pace == 0;
+      const auto interval_ms = static_cast<int64_t>(1000 / rate);
+      return at.count() % interval_ms == 0;
     };
     if (due(many)) demand->Arrived(At(at), "many");
     if (due(few)) demand->Arrived(At(at), "few");
   }
 }
 
-double ServedPart(const Tally& tally) {
+double ServedFraction(const Tally& tally) {
   return static_cast<double>(tally.served) /
          static_cast<double>(tally.served + tally.refused);
 }
 
 /// Returns the served fraction of both workspaces' requests at 1.5 times the
 /// capacity under these weights.
-std::pair<double, double> Served(uint32_t many, uint32_t few) {
+std::pair<double, double> ServedFractions(uint32_t many, uint32_t few) {
   Scenario scenario;
   scenario.loads.push_back(LoadOf(scenario, "many", 1, many, 1.25));
   scenario.loads.push_back(LoadOf(scenario, "few", 1, few, 0.25));
-  Overload crowded(scenario);
-  crowded.Run();
-  return {ServedPart(crowded.tally("many")), ServedPart(crowded.tally("few"))};
+  Overload overloaded(scenario);
+  overloaded.Run();
+  return {ServedFraction(overloaded.tally("many")),
+          ServedFraction(overloaded.tally("few"))};
 }
 
 // With equal shares no request of the small workspace is refused, but 40% of
 // the large one's are. Both must be served at the same rate.
 TEST(UsualDemandTest, CallersOfAllWorkspacesAreRefusedAlike) {
-  const auto [many_before, few_before] = Served(1, 1);
+  const auto [many_before, few_before] = ServedFractions(1, 1);
   EXPECT_LT(many_before, 0.62);
   EXPECT_GT(few_before, 0.99);
 
   UsualDemand demand;
-  Send(&demand, milliseconds(0), milliseconds(60000), kManyPerSecond,
-       kFewPerSecond);
+  RecordArrivals(&demand, milliseconds(0), milliseconds(60000), kManyPerSecond,
+                 kFewPerSecond);
   const TimePoint now = At(milliseconds(60000));
   const auto [many, few] =
-      Served(demand.weight(now, "many"), demand.weight(now, "few"));
+      ServedFractions(demand.weight(now, "many"), demand.weight(now, "few"));
   EXPECT_NEAR(many, few, 0.08);
   EXPECT_GT(many, 0.62);
 }
@@ -77,11 +78,11 @@
 // workspace.
 TEST(UsualDemandTest, AFloodWinsNoLargerShare) {
   UsualDemand demand;
-  Send(&demand, milliseconds(0), milliseconds(60000), kManyPerSecond,
-       kFewPerSecond);
+  RecordArrivals(&demand, milliseconds(0), milliseconds(60000), kManyPerSecond,
+                 kFewPerSecond);
   const uint32_t before = demand.weight(At(milliseconds(60000)), "many");
-  Send(&demand, milliseconds(60000), milliseconds(63000), kManyPerSecond,
-       10 * kFewPerSecond);
+  RecordArrivals(&demand, milliseconds(60000), milliseconds(63000),
+                 kManyPerSecond, 10 * kFewPerSecond);
   const uint32_t after = demand.weight(At(milliseconds(63000)), "many");
   EXPECT_GT(after * 10, before * 8);
 }
@@ -90,8 +91,8 @@
 // first requests would be refused while the group is short of capacity.
 TEST(UsualDemandTest, ANewWorkspaceHasAShare) {
   UsualDemand demand;
-  Send(&demand, milliseconds(0), milliseconds(60000), kManyPerSecond,
-       kFewPerSecond);
+  RecordArrivals(&demand, milliseconds(0), milliseconds(60000), kManyPerSecond,
+                 kFewPerSecond);
   const TimePoint now = At(milliseconds(60000));
   EXPECT_GE(demand.weight(now, "new") * 20, demand.weight(now, "many"));
 }
--- a/testsuite/admission_queue/queue_test.cc
+++ b/testsuite/admission_queue/queue_test.cc
@@ -42,7 +42,7 @@
 
 // Finishes statements at a steady rate while a ticket is queued, so that the
 // queue measures the drain rate.
-int64_t Measure(Queue* queue, int64_t now, int64_t interval_ms) {
+int64_t MeasureDrainRate(Queue* queue, int64_t now, int64_t interval_ms) {
   queue->Push(At(now), TicketOf(1000000, "gold", now, now + 1000000));
   for (int i = 0; i < 200; ++i) {
     now += interval_ms;
@@ -56,7 +56,7 @@
 struct Model {
   std::map<uint64_t, Ticket> waiting;
 
-  void Refused(const std::vector<Refusal>& refused, uint64_t pushed) {
+  void EraseRefused(const std::vector<Refusal>& refused, uint64_t pushed) {
     for (const Refusal& refusal : refused) {
       const bool here = waiting.erase(refusal.tag) == 1;
       RC_ASSERT(here || refusal.tag == pushed);
@@ -92,11 +92,11 @@
                    now, now + *rc::gen::inRange<int64_t>(-5, 400));
       ticket.in_transaction = *rc::gen::inRange(0, 5) == 0;
       const auto refused = queue.Push(At(now), ticket);
-      model.Refused(refused, tag);
-      const bool taken =
+      model.EraseRefused(refused, tag);
+      const bool accepted =
           std::none_of(refused.begin(), refused.end(),
                        [&](const Refusal& r) { return r.tag == tag; });
-      if (taken) model.waiting[tag] = ticket;
+      if (accepted) model.waiting[tag] = ticket;
     } else if (kind < 8) {
       const auto popped = queue.Pop(At(now), Always);
       if (!popped.has_value()) continue;
@@ -111,7 +111,7 @@
                   popped->tag < other_tag);
       }
     } else if (kind == 8) {
-      model.Refused(queue.Expire(At(now)), 0);
+      model.EraseRefused(queue.Expire(At(now)), 0);
       for (const auto& [other_tag, other] : model.waiting) {
         RC_ASSERT(other.deadline > At(now));
       }
@@ -191,7 +191,7 @@
 // seconds of queued work instead of being refused at once.
 TEST(Queue, RefusesWhatWouldNotFinishInTime) {
   Queue queue({Policy("gold", 0)}, 10000);
-  const int64_t now = Measure(&queue, 0, 10);
+  const int64_t now = MeasureDrainRate(&queue, 0, 10);
   uint64_t tag = 0;
   for (int i = 0; i < 200; ++i) {
     EXPECT_TRUE(
@@ -228,10 +228,10 @@
 // Statements that find a free slot finish while nothing is queued. If they
 // counted without busy time, the measured rate would be unbounded, and nothing
 // would be refused under overload.
-TEST(Queue, StatementsThatNeverWaitedTellNothing) {
+TEST(Queue, StatementsThatNeverWaitedAreNotMeasured) {
   Queue queue({Policy("gold", 0)}, 10000);
   for (int64_t ms = 0; ms < 10000; ++ms) queue.Finished(At(ms));
-  const int64_t now = Measure(&queue, 10000, 10);
+  const int64_t now = MeasureDrainRate(&queue, 10000, 10);
   for (uint64_t tag = 1; tag <= 100; ++tag) {
     queue.Push(At(now), TicketOf(tag, "gold", now, now + 60000));
   }
@@ -243,7 +243,7 @@
 // in that time. If it counted as busy time, the drain rate would fall to nearly
 // zero, and callers with seconds left would be refused although capacity is
 // free.
-TEST(Queue, WaitingWithoutAnythingRunningTellsNothing) {
+TEST(Queue, WaitingWithoutRunningStatementsIsNotMeasured) {
   Queue queue({Policy("gold", 0)}, 10000);
   uint64_t tag = 1;
   for (int64_t ms = 0; ms < 5000; ++ms) {
@@ -267,7 +267,7 @@
 // their deadlines.
 TEST(Queue, LowClassesAreJudgedByWhatIsLeftForThem) {
   Queue queue({Policy("gold", 0), Policy("bronze", 5)}, 10000);
-  int64_t now = Measure(&queue, 0, 10);
+  int64_t now = MeasureDrainRate(&queue, 0, 10);
   uint64_t tag = 0;
   for (int i = 0; i < 90; ++i) {
     queue.Push(At(now), TicketOf(++tag, "gold", now, now + 5000));
@@ -295,7 +295,7 @@
 
 // One workspace fills the queue. A workspace of the same class with few
 // requests must still be accepted.
-TEST(Queue, AFloodingWorkspaceGivesWayWithinItsClass) {
+TEST(Queue, AFloodingWorkspaceIsEvictedWithinItsClass) {
   Queue queue({Policy("flood", 1), Policy("calm", 1)}, 100);
   uint64_t tag = 0;
   for (int i = 0; i < 500; ++i) {
@@ -311,7 +311,7 @@
 // soon as they cannot be served in time, not at their deadlines.
 TEST(Queue, ExpireGivesUpBeforeTheDeadlineWhenTheGroupStalls) {
   Queue queue({Policy("gold", 0)}, 10000);
-  const int64_t now = Measure(&queue, 0, 10);
+  const int64_t now = MeasureDrainRate(&queue, 0, 10);
   for (uint64_t tag = 1; tag <= 100; ++tag) {
     queue.Push(At(now), TicketOf(tag, "gold", now, now + 3000));
   }
@@ -343,7 +343,7 @@
 // return at once.
 TEST(Queue, RefusedCallersComeBackSpreadOut) {
   Queue queue({Policy("gold", 0)}, 10000, 7);
-  const int64_t now = Measure(&queue, 0, 10);
+  const int64_t now = MeasureDrainRate(&queue, 0, 10);
   for (uint64_t tag = 1; tag <= 500; ++tag) {
     queue.Push(At(now), TicketOf(tag, "gold", now, now + 60000));
   }
@@ -373,7 +373,7 @@
 // A ticket without an arrival time must not appear to be late.
 TEST(Queue, ATicketWithoutTimeOfArrivalArrivesNow) {
   Queue queue({Policy("gold", 0)}, 10000);
-  const int64_t now = Measure(&queue, 1000000, 10);
+  const int64_t now = MeasureDrainRate(&queue, 1000000, 10);
   Ticket ticket = TicketOf(1, "gold", now, now + 1000);
   ticket.enqueued = TimePoint();
   queue.Push(At(now), ticket);
@@ -402,11 +402,11 @@
 // near zero. If it then refuses every ticket that cannot run at once, it never
 // measures a higher rate and refuses callers for as long as the load lasts.
 // With an external rate it accepts them again.
-TEST(Queue, LetsCallersInAfterAStandstillWhenTheRateIsGiven) {
+TEST(Queue, AcceptsCallersAfterAStandstillWithAnExternalRate) {
   Queue measured(Mixed(), 100);
-  Queue given(Mixed(), 100);
-  given.SetRate(100);
-  for (Queue* queue : {&measured, &given}) {
+  Queue external(Mixed(), 100);
+  external.SetRate(100);
+  for (Queue* queue : {&measured, &external}) {
     for (uint64_t tag = 0; tag < 5; ++tag) {
       queue->Push(At(0), TicketOf(tag, "gold", 0, 400));
     }
@@ -415,7 +415,7 @@
   }
   EXPECT_EQ(measured.Push(At(2001), TicketOf(9, "gold", 2001, 2401)).size(),
             1U);
-  EXPECT_TRUE(given.Push(At(2001), TicketOf(9, "gold", 2001, 2401)).empty());
+  EXPECT_TRUE(external.Push(At(2001), TicketOf(9, "gold", 2001, 2401)).empty());
 }
 
 }  // namespace
--- a/testsuite/entry_faults/faults_test.cc
+++ b/testsuite/entry_faults/faults_test.cc
@@ -20,20 +20,20 @@
 
 TimePoint At(int64_t ms) { return TimePoint(milliseconds(ms)); }
 
-bool Recorded(const StatementRequest& request) {
+bool IsRecorded(const StatementRequest& request) {
   return request.step == Step::kCommit ||
          (request.kind == StatementKind::kWrite && !request.repeatable);
 }
 
 /// Records of all databases for each request id.
-class Books {
+class DatabaseModel {
  public:
   /// Runs a copy that reaches the database. Returns nullopt if its id is
   /// fenced.
   std::optional<StatementAnswer> Run(const StatementRequest& request) {
     if (fenced_.contains(request.request_id)) return std::nullopt;
     int& runs = runs_[request.request_id];
-    if (!Recorded(request) || runs == 0) ++runs;
+    if (!IsRecorded(request) || runs == 0) ++runs;
     return StatementAnswer::Done(request.request_id, {1, 1});
   }
   StatementAnswer SettleId(const std::string& id) {
@@ -57,61 +57,61 @@
 
 /// One call in flight. It is kept after its answer, so that answers can arrive
 /// twice, late, or after a reported failure.
-struct Under {
+struct InFlightCall {
   CallId call = 0;
-  bool settles = false;
+  bool is_settle = false;
   StatementRequest request;
   std::string id;
 };
 
-class World {
+class Simulation {
  public:
-  World()
+  Simulation()
       : forwarder_([this](TimePoint, const std::string&) { return Ranked(); },
                    Timing(), 7) {}
 
   void Step() {
     switch (*rc::gen::inRange(0, 10)) {
       case 0:
-        Arrive();
+        SubmitRequest();
         break;
       case 1:
-        Pass(*rc::gen::inRange<int64_t>(100, 700));
+        AdvanceTime(*rc::gen::inRange<int64_t>(100, 700));
         break;
       case 2:
-        Pass(*rc::gen::inRange<int64_t>(1, 60));
+        AdvanceTime(*rc::gen::inRange<int64_t>(1, 60));
         break;
       case 3:
-        if (!copies_.empty()) RunFrozen();
+        if (!frozen_copies_.empty()) RunFrozenCopy();
         if (!requests_.empty() && *rc::gen::inRange(0, 4) == 0) Abandon();
         break;
       case 4:
-        shift_ = *rc::gen::inRange(0, kInstances + 1);
+        rank_offset_ = *rc::gen::inRange(0, kInstances + 1);
         break;
       default:
-        if (!under_.empty()) Meet();
+        if (!in_flight_.empty()) ResolveCall();
     }
   }
 
-  void End() {
-    while (!copies_.empty()) RunFrozen();
-    Pass(20000);
+  void Finish() {
+    while (!frozen_copies_.empty()) RunFrozenCopy();
+    AdvanceTime(20000);
     RC_ASSERT(forwarder_.in_progress() == 0U);
     for (const auto& [tag, request] : requests_) {
       if (abandoned_.contains(tag)) continue;
       const auto found = answers_.find(tag);
       RC_ASSERT(found != answers_.end());
-      const int runs = books_.runs(request.request_id);
+      const int runs = database_.runs(request.request_id);
       if (found->second.kind() == OutcomeKind::kNotRun) RC_ASSERT(runs == 0);
       if (found->second.kind() == OutcomeKind::kDone) RC_ASSERT(runs >= 1);
-      if (Recorded(request)) RC_ASSERT(runs <= 1);
+      if (IsRecorded(request)) RC_ASSERT(runs <= 1);
     }
   }
 
  private:
   static ForwarderTiming Timing() {
     ForwarderTiming timing;
-    timing.patience = milliseconds(300);
+    timing.contact_timeout = milliseconds(300);
     // Small, so that the budget is often exhausted in the middle of a request.
     timing.retry_burst = 3;
     return timing;
@@ -119,13 +119,13 @@
 
   std::vector<std::string> Ranked() const {
     std::vector<std::string> ranked;
-    for (int i = 0; i < kInstances && shift_ < kInstances; ++i) {
-      ranked.push_back("i" + std::to_string((i + shift_) % kInstances));
+    for (int i = 0; i < kInstances && rank_offset_ < kInstances; ++i) {
+      ranked.push_back("i" + std::to_string((i + rank_offset_) % kInstances));
     }
     return ranked;
   }
 
-  void Arrive() {
+  void SubmitRequest() {
     const RequestTag tag = requests_.size() + 1;
     StatementRequest request;
     request.request_id = "r" + std::to_string(tag);
@@ -154,14 +154,14 @@
   void Handle(const Event& event) {
     std::vector<Action> actions;
     forwarder_.Handle(At(now_), event, &actions);
-    for (const Action& action : actions) Take(action);
+    for (const Action& action : actions) Perform(action);
     for (const auto& [tag, request] : requests_) {
       RC_ASSERT(answers_.contains(tag) || abandoned_.contains(tag) ||
                 request.deadline > At(now_));
     }
   }
 
-  void Take(const Action& action) {
+  void Perform(const Action& action) {
     if (const auto* respond = std::get_if<Respond>(&action)) {
       RC_ASSERT(!abandoned_.contains(respond->tag));
       RC_ASSERT(answers_.emplace(respond->tag, respond->answer).second);
@@ -170,14 +170,15 @@
       const std::string& id = request.request_id;
       if (!request.repeatable) RC_ASSERT(!may_have_arrived_.contains(id));
       if (!request.transaction.empty()) RC_ASSERT(forward->instance == "i2");
-      under_.push_back({forward->call, false, request, id});
+      in_flight_.push_back({forward->call, false, request, id});
       may_have_arrived_.insert(id);
     } else if (const auto* settle = std::get_if<Settle>(&action)) {
-      under_.push_back({settle->call, true, {}, settle->request.request_id});
+      in_flight_.push_back(
+          {settle->call, true, {}, settle->request.request_id});
     }
   }
 
-  void Pass(int64_t ms) {
+  void AdvanceTime(int64_t ms) {
     const int64_t until = now_ + ms;
     while (forwarder_.next_deadline() <= At(until)) {
       const auto due = forwarder_.next_deadline().time_since_epoch();
@@ -189,78 +190,79 @@
   }
 
   // Chooses a random event for one call in flight.
-  void Meet() {
+  void ResolveCall() {
     // Often the last one, so that one request meets several failures.
-    const size_t any = *rc::gen::inRange<size_t>(0, 2 * under_.size());
-    const size_t at = std::min(any, under_.size() - 1);
-    const Under under = under_[at];
+    const size_t any = *rc::gen::inRange<size_t>(0, 2 * in_flight_.size());
+    const size_t at = std::min(any, in_flight_.size() - 1);
+    const InFlightCall in_flight = in_flight_[at];
     const bool again = *rc::gen::inRange(0, 4) == 0;
-    if (!again) under_.erase(under_.begin() + static_cast<int64_t>(at));
-    if (under.settles) {
-      MeetSettle(under);
+    if (!again) in_flight_.erase(in_flight_.begin() + static_cast<int64_t>(at));
+    if (in_flight.is_settle) {
+      ResolveSettle(in_flight);
     } else {
-      MeetForward(under, again);
+      ResolveForward(in_flight, again);
     }
   }
 
-  void MeetForward(const Under& under, bool again) {
+  void ResolveForward(const InFlightCall& in_flight, bool again) {
     switch (*rc::gen::inRange(0, again ? 3 : 7)) {
       case 0:
-        if (const auto answer = books_.Run(under.request)) {
-          Handle(PeerAnswered{under.call, *answer});
+        if (const auto answer = database_.Run(in_flight.request)) {
+          Handle(PeerAnswered{in_flight.call, *answer});
         } else {
-          Handle(PeerAnswered{under.call, Books::Refused(Reason::kFenced)});
+          Handle(PeerAnswered{in_flight.call,
+                              DatabaseModel::Refused(Reason::kFenced)});
         }
         break;
       case 1:
-        books_.Run(under.request);
-        Handle(PeerFailed{under.call, true});
+        database_.Run(in_flight.request);
+        Handle(PeerFailed{in_flight.call, true});
         break;
       case 2:
-        if (*rc::gen::arbitrary<bool>()) books_.Run(under.request);
-        Handle(PeerAnswered{under.call,
+        if (*rc::gen::arbitrary<bool>()) database_.Run(in_flight.request);
+        Handle(PeerAnswered{in_flight.call,
                             StatementAnswer::Unknown(Reason::kDatabaseLost)});
         break;
       case 3:
-        may_have_arrived_.erase(under.id);
-        Handle(PeerFailed{under.call, false});
+        may_have_arrived_.erase(in_flight.id);
+        Handle(PeerFailed{in_flight.call, false});
         break;
       case 4:
-        may_have_arrived_.erase(under.id);
-        Handle(PeerAnswered{
-            under.call, Books::Refused(*rc::gen::element(Reason::kOverloaded,
-                                                         Reason::kShuttingDown,
-                                                         Reason::kNotReady))});
+        may_have_arrived_.erase(in_flight.id);
+        Handle(PeerAnswered{in_flight.call,
+                            DatabaseModel::Refused(*rc::gen::element(
+                                Reason::kOverloaded, Reason::kShuttingDown,
+                                Reason::kNotReady))});
         break;
       case 5:
-        copies_.push_back(under.request);
-        Handle(PeerFailed{under.call, true});
+        frozen_copies_.push_back(in_flight.request);
+        Handle(PeerFailed{in_flight.call, true});
         break;
       default:
         // The instance freezes with the call in hand and does not answer.
-        copies_.push_back(under.request);
+        frozen_copies_.push_back(in_flight.request);
     }
   }
 
-  void MeetSettle(const Under& under) {
+  void ResolveSettle(const InFlightCall& in_flight) {
     switch (*rc::gen::inRange(0, 6)) {
       case 0:
-        Handle(PeerAnswered{under.call, books_.SettleId(under.id)});
+        Handle(PeerAnswered{in_flight.call, database_.SettleId(in_flight.id)});
         break;
       case 1:
-        books_.SettleId(under.id);
-        Handle(PeerFailed{under.call, true});
+        database_.SettleId(in_flight.id);
+        Handle(PeerFailed{in_flight.call, true});
         break;
       case 2:
-        Handle(PeerAnswered{under.call,
+        Handle(PeerAnswered{in_flight.call,
                             StatementAnswer::Unknown(Reason::kNoPrimary)});
         break;
       case 3:
-        Handle(PeerFailed{under.call, false});
+        Handle(PeerFailed{in_flight.call, false});
         break;
       case 4:
-        Handle(PeerAnswered{under.call,
-                            Books::Refused(*rc::gen::element(
+        Handle(PeerAnswered{in_flight.call,
+                            DatabaseModel::Refused(*rc::gen::element(
                                 Reason::kShuttingDown, Reason::kNotReady,
                                 Reason::kOverloaded))});
         break;
@@ -269,32 +271,32 @@
     }
   }
 
-  void RunFrozen() {
-    const size_t at = *rc::gen::inRange<size_t>(0, copies_.size());
-    books_.Run(copies_[at]);
-    copies_.erase(copies_.begin() + static_cast<int64_t>(at));
+  void RunFrozenCopy() {
+    const size_t at = *rc::gen::inRange<size_t>(0, frozen_copies_.size());
+    database_.Run(frozen_copies_[at]);
+    frozen_copies_.erase(frozen_copies_.begin() + static_cast<int64_t>(at));
   }
 
-  int shift_ = 0;
+  int rank_offset_ = 0;
   int64_t now_ = 1;
   Forwarder forwarder_;
-  Books books_;
+  DatabaseModel database_;
   std::map<RequestTag, StatementRequest> requests_;
   std::map<RequestTag, StatementAnswer> answers_;
   std::set<RequestTag> abandoned_;
   std::set<std::string> may_have_arrived_;
-  std::vector<Under> under_;
-  std::vector<StatementRequest> copies_;
+  std::vector<InFlightCall> in_flight_;
+  std::vector<StatementRequest> frozen_copies_;
 };
 
 // Instances crash, freeze and run a call later, refuse, answer late or twice. A
 // caller repeats a request that was answered "not run" or not answered, so a
 // wrong answer can run a payment twice.
 RC_GTEST_PROP(ForwarderFaults, OneTruthfulAnswerInTimeForEachRequest, ()) {
-  World world;
+  Simulation simulation;
   const int steps = *rc::gen::inRange(1, 400);
-  for (int i = 0; i < steps; ++i) world.Step();
-  world.End();
+  for (int i = 0; i < steps; ++i) simulation.Step();
+  simulation.Finish();
 }
 
 }  // namespace
--- a/testsuite/entry_forwarder/forwarder_test.cc
+++ b/testsuite/entry_forwarder/forwarder_test.cc
@@ -52,8 +52,8 @@
 
   static ForwarderTiming Timing() {
     ForwarderTiming timing;
-    timing.patience = milliseconds(700);
-    timing.probe_patience = milliseconds(300);
+    timing.contact_timeout = milliseconds(700);
+    timing.probe_timeout = milliseconds(300);
     timing.retry_burst = 5;
     return timing;
   }
@@ -177,7 +177,7 @@
 }
 
 // The keeper freezes; its calls time out without an error.
-TEST_F(ForwarderTest, ASilentKeeperIsDoubtedAfterPatience) {
+TEST_F(ForwarderTest, AKeeperThatTimesOutIsSuspected) {
   Handle(0, RequestArrived{1, Write(5000)});
   Wait(699);
   EXPECT_TRUE(actions_.empty());
@@ -201,7 +201,7 @@
 // A statement runs for seconds on an otherwise idle entry. If its healthy
 // keeper were suspected for the missing answers, the next instance in rank
 // would fence the write, and the caller would be answered "not run".
-TEST_F(ForwarderTest, AKeeperThatAnswersProbesIsNotDoubted) {
+TEST_F(ForwarderTest, AKeeperThatAnswersProbesIsNotSuspected) {
   Handle(0, RequestArrived{1, Write(20000)});
   for (int probes = 0; probes < 10; ++probes) {
     Wait(19000);
@@ -217,7 +217,7 @@
 // The wait in an overloaded group's queue exceeds the contact timeout while the
 // keeper answers other calls. Suspecting the keeper would settle, and thereby
 // fence, every queued write.
-TEST_F(ForwarderTest, AKeeperThatAnswersOthersIsNotDoubted) {
+TEST_F(ForwarderTest, AKeeperThatAnswersOthersIsNotSuspected) {
   Handle(0, RequestArrived{1, Write(5000)});
   for (int64_t ms = 500; ms <= 3000; ms += 500) {
     const RequestTag tag = static_cast<RequestTag>(ms);
@@ -272,7 +272,7 @@
 
 // One copy was lost, the other is refused. The lost copy may have run, so the
 // outcome is unknown.
-TEST_F(ForwarderTest, ARefusalDoesNotSpeakForALostCopy) {
+TEST_F(ForwarderTest, ARefusalDoesNotDecideALostCopy) {
   Handle(0, RequestArrived{1, Read(5000)});
   Handle(5, PeerFailed{1, true});
   Wait(5000);
@@ -280,7 +280,7 @@
   EXPECT_EQ(Answer(), "unknown instance_lost");
 }
 
-TEST_F(ForwarderTest, ALostCopyIsNotForgottenAtTheDeadline) {
+TEST_F(ForwarderTest, ALostCopyIsUnknownAtTheDeadline) {
   Handle(0, RequestArrived{1, Read(6)});
   Handle(5, PeerFailed{1, true});
   Handle(6, Tick{});
@@ -290,7 +290,7 @@
 // One copy was lost, the next was certainly not sent, and the retry budget is
 // exhausted. If the answer were "not run" because of the second copy, the
 // caller would repeat a request that the first copy may have run.
-TEST_F(ForwarderTest, AnUnsentCopyDoesNotSpeakForALostOne) {
+TEST_F(ForwarderTest, AnUnsentCopyDoesNotDecideALostOne) {
   Handle(0, RequestArrived{1, Read(5000)});
   Handle(5, PeerFailed{1, true});
   while (Answer().empty()) {
@@ -346,7 +346,7 @@
   EXPECT_EQ(Answer(), "not_run deadline");
 }
 
-TEST_F(ForwarderTest, NobodyKnownIsToldAtOnce) {
+TEST_F(ForwarderTest, NoKnownInstanceIsAnsweredAtOnce) {
   ranked_.clear();
   Handle(0, RequestArrived{1, Write(5000)});
   EXPECT_EQ(Answer(), "not_run not_ready");
@@ -389,7 +389,7 @@
   EXPECT_EQ(Answer(), "done");
 }
 
-TEST_F(ForwarderTest, ACommitWhoseHolderIsGoneIsSettled) {
+TEST_F(ForwarderTest, ACommitWhoseHolderIsUnreachableIsSettled) {
   Handle(0, RequestArrived{1, InTransaction(Step::kCommit, 5000)});
   Handle(1, PeerFailed{1, false});
   Wait(5000);
--- a/testsuite/support/admission/overload.h
+++ b/testsuite/support/admission/overload.h
@@ -80,16 +80,16 @@
         free_slots_(scenario.slots) {}
 
   void Run() {
-    for (const Load& load : scenario_.loads) PlanArrival(load, {});
+    for (const Load& load : scenario_.loads) ScheduleArrival(load, {});
     for (milliseconds at{0}; at < scenario_.length; at += kTick) {
-      Plan(at, [this] { Expired(queue_.Expire(Now())); });
+      Schedule(at, [this] { RecordRefusals(queue_.Expire(Now())); });
     }
     while (!events_.empty() && events_.top().at < scenario_.length) {
-      const Planned next = events_.top();
+      const ScheduledEvent next = events_.top();
       events_.pop();
       now_ = next.at;
       next.run();
-      Start();
+      StartRequests();
     }
   }
 
@@ -119,11 +119,11 @@
   static constexpr milliseconds kTick{10};
   static constexpr milliseconds kBucket{100};
 
-  struct Planned {
+  struct ScheduledEvent {
     microseconds at;
     uint64_t order;
     std::function<void()> run;
-    bool operator<(const Planned& other) const {
+    bool operator<(const ScheduledEvent& other) const {
       return std::tie(other.at, other.order) < std::tie(at, order);
     }
   };
@@ -141,33 +141,33 @@
   }
 
   core::TimePoint Now() const { return core::TimePoint(now_); }
-  void Plan(microseconds at, std::function<void()> run) {
+  void Schedule(microseconds at, std::function<void()> run) {
     events_.push({at, order_++, std::move(run)});
   }
 
-  void PlanArrival(const Load& load, microseconds after) {
+  void ScheduleArrival(const Load& load, microseconds after) {
     std::exponential_distribution<double> gap(load.per_second);
     const auto at =
         after + microseconds(static_cast<int64_t>(1e6 * gap(random_)));
     if (at >= scenario_.length) return;
-    Plan(at, [this, &load] {
+    Schedule(at, [this, &load] {
       ++tallies_[load.policy.workspace].arrived;
-      Ask(load, now_);
-      PlanArrival(load, now_);
+      Submit(load, now_);
+      ScheduleArrival(load, now_);
     });
   }
 
-  void Ask(const Load& load, microseconds first) {
+  void Submit(const Load& load, microseconds first) {
     core::admission::Ticket ticket;
     ticket.tag = ++tag_;
     ticket.workspace = load.policy.workspace;
     ticket.enqueued = Now();
     ticket.deadline = Now() + load.deadline;
     waiting_[ticket.tag] = {&load, now_, first};
-    Expired(queue_.Push(Now(), ticket));
+    RecordRefusals(queue_.Push(Now(), ticket));
   }
 
-  void Expired(const std::vector<core::admission::Refusal>& refusals) {
+  void RecordRefusals(const std::vector<core::admission::Refusal>& refusals) {
     for (const auto& refusal : refusals) {
       const Waiting waiting = waiting_.at(refusal.tag);
       Tally& tally = tallies_[waiting.load->policy.workspace];
@@ -176,8 +176,8 @@
       last_refusal_ = now_;
       refused_.insert(refusal.tag);
       if (!scenario_.callers_return) continue;
-      Plan(now_ + refusal.retry_after,
-           [this, waiting] { Ask(*waiting.load, waiting.first); });
+      Schedule(now_ + refusal.retry_after,
+               [this, waiting] { Submit(*waiting.load, waiting.first); });
     }
   }
 
@@ -185,7 +185,7 @@
     return now_ >= scenario_.stall_from && now_ < scenario_.stall_until;
   }
 
-  void Start() {
+  void StartRequests() {
     const auto any = [](const core::admission::Ticket&) { return true; };
     while (free_slots_ > 0 && !Stalled()) {
       const auto ticket = queue_.Pop(Now(), any);
@@ -196,8 +196,8 @@
           scenario_.service_low.count(), scenario_.service_high.count());
       const uint64_t tag = ticket->tag;
       const microseconds started = now_;
-      Plan(now_ + microseconds(service(random_)),
-           [this, tag, started] { Finish(tag, started); });
+      Schedule(now_ + microseconds(service(random_)),
+               [this, tag, started] { Finish(tag, started); });
     }
   }
 
@@ -222,7 +222,7 @@
   microseconds now_{0};
   uint64_t order_ = 0;
   uint64_t tag_ = 0;
-  std::priority_queue<Planned> events_;
+  std::priority_queue<ScheduledEvent> events_;
   std::map<uint64_t, Waiting> waiting_;
   std::set<uint64_t> refused_;
   std::map<std::string, Tally> tallies_;
--- a/testsuite/support/group/checks.h
+++ b/testsuite/support/group/checks.h
@@ -20,9 +20,9 @@
 }
 
 /// Returns the findings of `HealAndCheck`, one per line.
-inline std::string Text(const std::vector<std::string>& wrong) {
+inline std::string Text(const std::vector<std::string>& errors) {
   std::string text;
-  for (const std::string& line : wrong) text += line + "\n";
+  for (const std::string& line : errors) text += line + "\n";
   return text;
 }
 
@@ -30,9 +30,9 @@
 inline uint64_t Promotions(FakeGroup& group) {
   uint64_t count = 0;
   for (size_t i = 0; i < group.keepers(); ++i) {
-    for (const auto& [name, times] :
+    for (const auto& [name, calls] :
          group.keeper(static_cast<int>(i)).promotions) {
-      count += times;
+      count += calls;
     }
   }
   return count;
--- a/testsuite/support/group/failover_trial.h
+++ b/testsuite/support/group/failover_trial.h
@@ -30,30 +30,30 @@
 
 /// A successor sends heartbeats to the keeper once a second with a timeout of
 /// half a second. These bound the time until it detects the loss of the keeper.
-constexpr milliseconds kSuccessorAsksEvery{1000};
-constexpr milliseconds kSuccessorPatience{500};
-constexpr milliseconds kWriteEvery{5};
+constexpr milliseconds kSuccessorHeartbeatInterval{1000};
+constexpr milliseconds kSuccessorTimeout{500};
+constexpr milliseconds kWriteInterval{5};
 
 /// Rate of writes.
 enum class Traffic { kSteady, kRare };
-constexpr milliseconds kRareWriteEvery{3000};
+constexpr milliseconds kRareWriteInterval{3000};
 
 class FailoverTrial {
  public:
   FailoverTrial(GroupShape shape, uint64_t seed,
                 Traffic traffic = Traffic::kSteady)
       : group_(std::move(shape), seed),
-        write_every_(traffic == Traffic::kRare ? kRareWriteEvery
-                                               : kWriteEvery) {
+        write_interval_(traffic == Traffic::kRare ? kRareWriteInterval
+                                                  : kWriteInterval) {
     group_.AddKeeper();
     group_.time().RunFor(std::chrono::seconds(1));
-    WriteOn();
+    WriteNext();
     const auto until_fault = milliseconds(500 + group_.random()() % 1000);
     group_.time().RunFor(until_fault);
   }
 
   FailoverResult Run(Loss loss) {
-    Strike(loss);
+    InjectLoss(loss);
     group_.time().RunFor(std::chrono::seconds(8));
     FailoverResult result = Finish();
     result.wrong = group_.HealAndCheck();
@@ -77,17 +77,17 @@
   }
 
  private:
-  void WriteOn() {
+  void WriteNext() {
     if (stopped_) return;
     group_.Send(keeper_, group_.Write(std::chrono::seconds(1)),
                 [this](const core::StatementAnswer& answer) {
                   if (answer.kind() != core::OutcomeKind::kDone) return;
-                  done_.push_back(group_.time().now());
+                  done_at_.push_back(group_.time().now());
                 });
-    group_.time().After(write_every_, [this] { WriteOn(); });
+    group_.time().After(write_interval_, [this] { WriteNext(); });
   }
 
-  void Strike(Loss loss) {
+  void InjectLoss(Loss loss) {
     switch (loss) {
       case Loss::kKilled:
         group_.Kill("a");
@@ -104,11 +104,11 @@
         return;
       case Loss::kKilledWithKeeper:
         group_.Kill("a");
-        LoseKeeper();
+        ReplaceKeeper();
         return;
       case Loss::kFrozenWithKeeper:
         group_["a"].frozen = true;
-        LoseKeeper();
+        ReplaceKeeper();
         return;
       case Loss::kPlanned:
         group_.Policy("a");
@@ -116,22 +116,23 @@
     }
   }
 
-  void LoseKeeper() {
+  void ReplaceKeeper() {
     group_.keeper(0).Kill();
-    const auto asked = group_.random()() % kSuccessorAsksEvery.count();
-    group_.time().After(milliseconds(asked) + kSuccessorPatience,
+    const auto heartbeat_delay =
+        group_.random()() % kSuccessorHeartbeatInterval.count();
+    group_.time().After(milliseconds(heartbeat_delay) + kSuccessorTimeout,
                         [this] { keeper_ = group_.AddKeeper(); });
   }
 
   FailoverResult Finish() {
     stopped_ = true;
     FailoverResult result;
-    for (size_t i = 1; i < done_.size(); ++i) {
-      result.gap = std::max(result.gap, done_[i] - done_[i - 1]);
+    for (size_t i = 1; i < done_at_.size(); ++i) {
+      result.gap = std::max(result.gap, done_at_[i] - done_at_[i - 1]);
     }
-    if (!done_.empty()) {
-      const auto tail = group_.time().now() - done_.back();
-      result.gap = std::max(result.gap, tail);
+    if (!done_at_.empty()) {
+      const auto since_last_write = group_.time().now() - done_at_.back();
+      result.gap = std::max(result.gap, since_last_write);
     }
     for (size_t i = 0; i < group_.keepers(); ++i) {
       for (const auto& [name, count] :
@@ -143,10 +144,10 @@
   }
 
   FakeGroup group_;
-  milliseconds write_every_;
+  milliseconds write_interval_;
   int keeper_ = 0;
   bool stopped_ = false;
-  std::vector<TimePoint> done_;
+  std::vector<TimePoint> done_at_;
 };
 
 /// Median and maximum over many trials of one loss.
--- a/testsuite/support/group/fake_database.h
+++ b/testsuite/support/group/fake_database.h
@@ -45,13 +45,13 @@
         peers_(std::move(peers)),
         shape_(shape) {}
 
-  void StartAs(const std::string& primary) {
+  void StartWithPrimary(const std::string& primary) {
     adopted_term_ = 1;
     proposer_ = "settings";
-    primary_role_ = primary == name_;
-    following_ = primary_role_ ? "" : primary;
+    is_primary_ = primary == name_;
+    following_ = is_primary_ ? "" : primary;
     log_.Append({1, EntryKind::kTermStart, "", {}});
-    if (!primary_role_) Subscribe();
+    if (!is_primary_) Subscribe();
     Resubscribe();
   }
 
@@ -67,24 +67,24 @@
     for (const auto& [name, follower] : followers_) {
       peers_(name)->BreakStream();
     }
-    Forget();
+    DiscardVolatileState();
   }
   void Revive() {
     dead = false;
-    if (!primary_role_) Subscribe();
+    if (!is_primary_) Subscribe();
   }
   void Thaw() {
     frozen = false;
-    while (!held_.empty() && !frozen) {
-      auto run = std::move(held_.front());
-      held_.pop_front();
+    while (!deferred_.empty() && !frozen) {
+      auto run = std::move(deferred_.front());
+      deferred_.pop_front();
       run();
     }
   }
   /// Runs `work` now, or after `Thaw` if the database is frozen.
   void Deliver(std::function<void()> work) {
     if (frozen) {
-      held_.push_back(std::move(work));
+      deferred_.push_back(std::move(work));
     } else {
       work();
     }
@@ -101,9 +101,9 @@
 
   void Execute(ConnectionKey key, const core::ExecuteCall& call,
                ExecuteDone done) {
-    statements_at_ = queue_->now();
+    last_statement_at_ = queue_->now();
     waiting_.push_back({key, call, std::move(done)});
-    RunWaiting();
+    StartWaiting();
   }
 
   void Control(const core::ControlCall& call, const ControlDone& done) {
@@ -126,8 +126,8 @@
   core::DatabaseStatus status_now() const {
     core::DatabaseStatus status;
     status.database = name_;
-    status.role = primary_role_ ? core::DatabaseRole::kPrimary
-                                : core::DatabaseRole::kReplica;
+    status.role = is_primary_ ? core::DatabaseRole::kPrimary
+                              : core::DatabaseRole::kReplica;
     status.adopted_term = adopted_term_;
     status.proposer = proposer_;
     status.last = log_.last();
@@ -137,11 +137,11 @@
 
   const std::string& name() const { return name_; }
   const FakeLog& log() const { return log_; }
-  bool is_primary() const { return primary_role_; }
+  bool is_primary() const { return is_primary_; }
   uint64_t adopted_term() const { return adopted_term_; }
   DatabaseShape& shape() { return shape_; }
   /// Arrival time of the last statement.
-  TimePoint statements_at() const { return statements_at_; }
+  TimePoint statements_at() const { return last_statement_at_; }
 
  private:
   struct Connection {
@@ -167,21 +167,21 @@
   }
 
   // ---- statements ----
-  void RunWaiting() {
+  void StartWaiting() {
     while (running_ < shape_.slots && !waiting_.empty()) {
       Waiting next = std::move(waiting_.front());
       waiting_.pop_front();
       ++running_;
       const std::string key = Key(next.call.workspace, next.call.request_id);
       in_progress_.insert(key);
-      const uint64_t life = life_;
-      queue_->After(shape_.statement_time + stall, [this, next, key, life] {
-        Deliver([this, next, key, life] {
-          if (life != life_) return;
+      const uint64_t epoch = epoch_;
+      queue_->After(shape_.statement_time + stall, [this, next, key, epoch] {
+        Deliver([this, next, key, epoch] {
+          if (epoch != epoch_) return;
           --running_;
           in_progress_.erase(in_progress_.find(key));
-          if (connections_.contains(next.key)) next.done(Run(next));
-          RunWaiting();
+          if (connections_.contains(next.key)) next.done(Evaluate(next));
+          StartWaiting();
         });
       });
     }
@@ -194,7 +194,7 @@
     return answer;
   }
 
-  core::ExecuteAnswer Run(const Waiting& waiting) {
+  core::ExecuteAnswer Evaluate(const Waiting& waiting) {
     const core::ExecuteCall& call = waiting.call;
     Connection& connection = connections_[waiting.key];
     if (call.term < adopted_term_) {
@@ -204,7 +204,7 @@
     const bool read = call.step == core::Step::kStatement &&
                       call.kind == core::StatementKind::kRead;
     const bool writes = !read || connection.open;
-    if (writes && (!primary_role_ || call.term != adopted_term_)) {
+    if (writes && (!is_primary_ || call.term != adopted_term_)) {
       return Refuse(core::ExecuteStatus::kNotPrimary);
     }
     core::ExecuteAnswer answer = Refuse(core::ExecuteStatus::kOk);
@@ -264,7 +264,7 @@
     answer.status = core::SettleStatus::kStaleTerm;
     if (call.term < adopted_term_) return answer;
     answer.status = core::SettleStatus::kNotPrimary;
-    if (!primary_role_ || call.term != adopted_term_) return answer;
+    if (!is_primary_ || call.term != adopted_term_) return answer;
     const std::string key = Key(call.workspace, call.request_id);
     if (const auto found = log_.Find(key)) {
       const bool fence = log_.entries()[*found].kind == EntryKind::kFence;
@@ -287,7 +287,7 @@
     if (term <= adopted_term_) return false;
     adopted_term_ = term;
     proposer_ = proposer;
-    primary_role_ = false;
+    is_primary_ = false;
     following_.clear();
     ++stream_;
     WakeWaiters();
@@ -296,8 +296,8 @@
 
   bool Promote(const core::PromoteCall& call) {
     if (call.term != adopted_term_ || call.proposer != proposer_) return false;
-    if (primary_role_) return true;
-    primary_role_ = true;
+    if (is_primary_) return true;
+    is_primary_ = true;
     following_.clear();
     ++stream_;
     Append({adopted_term_, EntryKind::kTermStart, "", {}});
@@ -308,7 +308,7 @@
     if (call.term < adopted_term_) return false;
     if (call.term == adopted_term_ && call.proposer != proposer_) return false;
     if (call.term > adopted_term_) Adopt(call.term, call.proposer);
-    if (primary_role_ && call.primary != name_) return false;
+    if (is_primary_ && call.primary != name_) return false;
     if (following_ == call.primary) return true;
     following_ = call.primary;
     Subscribe();
@@ -326,10 +326,10 @@
   void Resubscribe() {
     queue_->After(milliseconds(100), [this] {
       // A new stream may still be in flight.
-      const TimePoint due =
-          asked_at_ + 2 * shape_.peer_delay + shape_.lag + milliseconds(50);
-      const bool waits = stream_live_ || queue_->now() < due;
-      if (!following_.empty() && !waits) Subscribe();
+      const TimePoint due = subscribed_at_ + 2 * shape_.peer_delay +
+                            shape_.lag + milliseconds(50);
+      const bool stream_pending = stream_live_ || queue_->now() < due;
+      if (!following_.empty() && !stream_pending) Subscribe();
       Resubscribe();
     });
   }
@@ -338,7 +338,7 @@
     if (dead || frozen || following_.empty()) return;
     const uint64_t stream = ++stream_;
     stream_live_ = false;
-    asked_at_ = queue_->now();
+    subscribed_at_ = queue_->now();
     FakeDatabase* primary = peers_(following_);
     if (primary == nullptr || !LinkedTo(*primary)) return;
     queue_->After(shape_.peer_delay,
@@ -359,7 +359,7 @@
 
   void Subscribed(const std::string& follower, uint64_t stream, uint64_t term) {
     Deliver([this, follower, stream, term] {
-      if (dead || !primary_role_ || term != adopted_term_) return;
+      if (dead || !is_primary_ || term != adopted_term_) return;
       Follower& entry = followers_[follower];
       entry = {stream, 0};
       Ship(follower, &entry);
@@ -379,9 +379,9 @@
     follower->sent = log_.entries().size();
     queue_->After(shape_.peer_delay + replica->shape_.lag,
                   [this, replica, from, tail, stream = follower->stream,
-                   term = adopted_term_, life = life_] {
+                   term = adopted_term_, epoch = epoch_] {
                     // Entries in flight when the link broke are lost.
-                    if (life != life_ || !LinkedTo(*replica)) {
+                    if (epoch != epoch_ || !LinkedTo(*replica)) {
                       replica->BreakStream();
                       return;
                     }
@@ -415,10 +415,10 @@
     }
     const uint64_t id = next_waiter_++;
     waiters_[id] = {call, done};
-    const uint64_t life = life_;
-    queue_->After(call.wait, [this, id, life] {
-      Deliver([this, id, life] {
-        if (life == life_) AnswerWaiter(id);
+    const uint64_t epoch = epoch_;
+    queue_->After(call.wait, [this, id, epoch] {
+      Deliver([this, id, epoch] {
+        if (epoch == epoch_) AnswerWaiter(id);
       });
     });
   }
@@ -444,8 +444,8 @@
   }
 
   /// Discards the state that a process loses when it dies.
-  void Forget() {
-    ++life_;
+  void DiscardVolatileState() {
+    ++epoch_;
     ++stream_;
     stream_live_ = false;
     running_ = 0;
@@ -454,7 +454,7 @@
     in_progress_.clear();
     waiters_.clear();
     followers_.clear();
-    held_.clear();
+    deferred_.clear();
     frozen = false;
   }
 
@@ -466,12 +466,12 @@
   FakeLog log_;
   uint64_t adopted_term_ = 0;
   std::string proposer_;
-  bool primary_role_ = false;
+  bool is_primary_ = false;
   std::string following_;
   std::map<std::string, Follower> followers_;
   uint64_t stream_ = 0;
   bool stream_live_ = false;
-  TimePoint asked_at_;
+  TimePoint subscribed_at_;
 
   std::map<ConnectionKey, Connection> connections_;
   std::deque<Waiting> waiting_;
@@ -479,9 +479,9 @@
   uint32_t running_ = 0;
   std::map<uint64_t, Waiter> waiters_;
   uint64_t next_waiter_ = 0;
-  std::deque<std::function<void()>> held_;
-  uint64_t life_ = 0;
-  TimePoint statements_at_;
+  std::deque<std::function<void()>> deferred_;
+  uint64_t epoch_ = 0;
+  TimePoint last_statement_at_;
 };
 
 }  // namespace ryefold::test
--- a/testsuite/support/group/fake_group.h
+++ b/testsuite/support/group/fake_group.h
@@ -79,7 +79,7 @@
           shape_.database);
     }
     for (auto& [name, database] : databases_) {
-      database->StartAs(shape_.spec.databases.front().database);
+      database->StartWithPrimary(shape_.spec.databases.front().database);
     }
   }
 
@@ -89,9 +89,9 @@
     hosts_.push_back(std::make_unique<KeeperHost>(
         number, &queue_, &databases_, shape_.network, random_(),
         [this](uint64_t tag, const core::StatementAnswer& answer) {
-          OnAnswer(tag, answer);
+          RecordAnswer(tag, answer);
         }));
-    hosts_.back()->Begin(std::make_unique<core::group::Keeper>(
+    hosts_.back()->Start(std::make_unique<core::group::Keeper>(
         shape_.spec, shape_.workspaces, "instance" + std::to_string(number),
         "b", shape_.timing, random_()));
     return number;
@@ -217,28 +217,29 @@
   }
 
   std::vector<std::string> Check() {
-    std::vector<std::string> wrong;
+    std::vector<std::string> errors;
     FakeDatabase* final = primary();
-    if (final == nullptr) return {"the group has no primary in the end"};
+    if (final == nullptr) return {"the group has no primary after recovery"};
     for (auto& [name, database] : databases_) {
       if (database->log().last() != final->log().last()) {
-        wrong.push_back("log of " + name + " differs in the end");
+        errors.push_back("log of " + name +
+                         " differs from that of the primary after recovery");
       }
     }
-    for (const auto& [tag, asked] : asked_) CheckOne(*final, asked, &wrong);
-    for (std::string& text : late_) wrong.push_back(std::move(text));
-    return wrong;
+    for (const auto& [tag, asked] : asked_) CheckOne(*final, asked, &errors);
+    for (std::string& text : answer_errors_) errors.push_back(std::move(text));
+    return errors;
   }
 
  private:
   void CheckOne(const FakeDatabase& final, const Asked& asked,
-                std::vector<std::string>* wrong) {
+                std::vector<std::string>* errors) {
     const core::StatementRequest& request = asked.request;
     const std::string& id = request.request_id;
-    const bool gone = !hosts_[asked.keeper]->alive();
-    if (asked.answers > 1) wrong->push_back(id + " was answered twice");
+    const bool keeper_dead = !hosts_[asked.keeper]->alive();
+    if (asked.answers > 1) errors->push_back(id + " was answered twice");
     if (!asked.answer) {
-      if (!gone) wrong->push_back(id + " was never answered");
+      if (!keeper_dead) errors->push_back(id + " was never answered");
       return;
     }
     const core::StatementAnswer& answer = *asked.answer;
@@ -247,11 +248,11 @@
                        request.transaction.empty();
     const bool commit = request.step == core::Step::kCommit;
     const int count = final.log().CountOf(request.sql);
-    if (write && count > 1) wrong->push_back(id + " is there twice");
+    if (write && count > 1) errors->push_back(id + " was written twice");
     if (!write && !commit) return;
     if (answer.kind() == core::OutcomeKind::kDone && count != 1) {
-      wrong->push_back(id + " was told done and is there " +
-                       std::to_string(count) + " times");
+      errors->push_back(id + " was answered done but written " +
+                        std::to_string(count) + " times");
     }
     // The refusal of a repeat that was never sent does not cover the first
     // attempt; a fence covers the id.
@@ -260,23 +261,24 @@
     const bool speaks_for_id = fenced || !asked.repeat;
     if (answer.kind() == core::OutcomeKind::kNotRun && speaks_for_id &&
         count != 0) {
-      wrong->push_back(id + " was told not run and is there");
+      errors->push_back(id + " was answered not run but written");
     }
   }
 
-  void OnAnswer(uint64_t tag, const core::StatementAnswer& answer) {
+  void RecordAnswer(uint64_t tag, const core::StatementAnswer& answer) {
     Asked& asked = asked_.at(tag);
     ++asked.answers;
     asked.answer = answer;
     asked.answered_at = queue_.now();
     const std::string& id = asked.request.request_id;
     if (queue_.now() > asked.request.deadline && !hosts_.empty() &&
-        !thawed_.contains(asked.keeper)) {
-      late_.push_back(id + " was answered after its deadline");
+        !frozen_keepers_.contains(asked.keeper)) {
+      answer_errors_.push_back(id + " was answered after its deadline");
     }
     if (answer.kind() == core::OutcomeKind::kDone &&
         !answer.result_json().starts_with(id)) {
-      late_.push_back(id + " got the answer " + answer.result_json());
+      answer_errors_.push_back(id + " received the answer " +
+                               answer.result_json());
     }
     const auto then = then_.find(tag);
     if (then == then_.end()) return;
@@ -290,7 +292,7 @@
   /// as violations.
   void FreezeKeeper(int number) {
     hosts_[number]->Freeze();
-    thawed_.insert(number);
+    frozen_keepers_.insert(number);
   }
 
  private:
@@ -301,8 +303,8 @@
   std::vector<std::unique_ptr<KeeperHost>> hosts_;
   std::map<uint64_t, Asked> asked_;
   std::map<uint64_t, Then> then_;
-  std::set<int> thawed_;
-  std::vector<std::string> late_;
+  std::set<int> frozen_keepers_;
+  std::vector<std::string> answer_errors_;
   uint64_t next_tag_ = 1;
   uint64_t next_id_ = 1;
 };
--- a/testsuite/support/group/fake_log.h
+++ b/testsuite/support/group/fake_log.h
@@ -32,11 +32,13 @@
     return {entries_.back().term, entries_.size()};
   }
 
-  const std::vector<core::TermStart>& term_starts() const { return starts_; }
+  const std::vector<core::TermStart>& term_starts() const {
+    return term_starts_;
+  }
 
   core::LogPosition Append(LogEntry entry) {
     entries_.push_back(std::move(entry));
-    Index(entries_.size() - 1);
+    IndexEntry(entries_.size() - 1);
     return last();
   }
 
@@ -45,8 +47,8 @@
     entries_.resize(std::min(size, entries_.size()));
     records_.clear();
     values_.clear();
-    starts_.clear();
-    for (size_t i = 0; i < entries_.size(); ++i) Index(i);
+    term_starts_.clear();
+    for (size_t i = 0; i < entries_.size(); ++i) IndexEntry(i);
   }
 
   /// Returns the entries after the first `from`.
@@ -86,10 +88,10 @@
   const std::vector<LogEntry>& entries() const { return entries_; }
 
  private:
-  void Index(size_t i) {
+  void IndexEntry(size_t i) {
     const LogEntry& entry = entries_[i];
-    if (starts_.empty() || starts_.back().term != entry.term) {
-      starts_.push_back({entry.term, i + 1});
+    if (term_starts_.empty() || term_starts_.back().term != entry.term) {
+      term_starts_.push_back({entry.term, i + 1});
     }
     if (!entry.key.empty()) records_.emplace(entry.key, i);
     for (const std::string& value : entry.values) ++values_[value];
@@ -98,7 +100,7 @@
   std::vector<LogEntry> entries_;
   std::map<std::string, size_t> records_;
   std::map<std::string, int> values_;
-  std::vector<core::TermStart> starts_;
+  std::vector<core::TermStart> term_starts_;
 };
 
 }  // namespace ryefold::test
--- a/testsuite/support/group/keeper_host.h
+++ b/testsuite/support/group/keeper_host.h
@@ -45,7 +45,7 @@
         random_(seed),
         respond_(std::move(respond)) {}
 
-  void Begin(std::unique_ptr<group::Keeper> keeper) {
+  void Start(std::unique_ptr<group::Keeper> keeper) {
     keeper_ = std::move(keeper);
     Feed(group::Tick{});
   }
@@ -53,13 +53,14 @@
   void Feed(const group::Event& event) {
     if (keeper_ == nullptr) return;
     if (frozen_) {
-      held_.push_back(event);
+      deferred_events_.push_back(event);
       return;
     }
     std::vector<group::Action> actions;
     keeper_->Handle(queue_->now(), event, &actions);
     for (const group::Action& action : actions) {
-      std::visit([this](const auto& wanted) { Do(wanted); }, action);
+      std::visit([this](const auto& typed_action) { Perform(typed_action); },
+                 action);
     }
     ScheduleTick();
   }
@@ -69,13 +70,13 @@
     frozen_ = false;
     // A process that resumes receives its queued socket events and its expired
     // timers together.
-    std::deque<group::Event> held = std::exchange(held_, {});
-    for (const group::Event& event : held) Feed(event);
+    std::deque<group::Event> deferred = std::exchange(deferred_events_, {});
+    for (const group::Event& event : deferred) Feed(event);
     Feed(group::Tick{});
   }
   void Kill() {
     keeper_.reset();
-    for (const auto& [id, database] : connections_) Hangup(id, database);
+    for (const auto& [id, database] : connections_) SendClose(id, database);
     connections_.clear();
   }
 
@@ -114,22 +115,24 @@
     return network_.one_way +
            (it == extra_delay.end() ? Duration{0} : it->second);
   }
-  bool Chance(double probability) {
+  bool Occurs(double probability) {
     return probability > 0 &&
            std::uniform_real_distribution<double>(0, 1)(random_) < probability;
   }
 
-  void Do(const group::Respond& action) { respond_(action.tag, action.answer); }
+  void Perform(const group::Respond& action) {
+    respond_(action.tag, action.answer);
+  }
 
-  void Do(const group::OpenConnection& action) {
+  void Perform(const group::OpenConnection& action) {
     ++opens;
     connections_[action.connection] = action.database;
-    const Duration there = Delay(action.database);
-    queue_->After(there, [this, action] {
+    const Duration network_delay = Delay(action.database);
+    queue_->After(network_delay, [this, action] {
       FakeDatabase& database = Database(action.database);
       if (cut.contains(action.database)) return;
       if (database.dead) {
-        Lose(action.connection, action.database);
+        ResetConnection(action.connection, action.database);
         return;
       }
       database.Deliver([this, action] { Accept(action); });
@@ -140,7 +143,7 @@
     FakeDatabase& database = Database(action.database);
     if (!connections_.contains(action.connection)) return;
     if (!database.Open({number_, action.connection})) {
-      Lose(action.connection, action.database);
+      ResetConnection(action.connection, action.database);
       return;
     }
     queue_->After(network_.connect_time + Delay(action.database),
@@ -151,14 +154,14 @@
                   });
   }
 
-  void Do(const group::CloseConnection& action) {
+  void Perform(const group::CloseConnection& action) {
     const auto it = connections_.find(action.connection);
     if (it == connections_.end()) return;
-    Hangup(action.connection, it->second);
+    SendClose(action.connection, it->second);
     connections_.erase(it);
   }
 
-  void Hangup(uint64_t connection, const std::string& name) {
+  void SendClose(uint64_t connection, const std::string& name) {
     queue_->After(Delay(name), [this, connection, name] {
       FakeDatabase& database = Database(name);
       database.Deliver([this, connection, &database] {
@@ -167,21 +170,21 @@
     });
   }
 
-  void Lose(uint64_t connection, const std::string& name) {
+  void ResetConnection(uint64_t connection, const std::string& name) {
     queue_->After(Delay(name), [this, connection] {
       if (connections_.erase(connection) == 0) return;
       Feed(group::ConnectionLost{connection});
     });
   }
 
-  void Do(const group::Execute& action) {
+  void Perform(const group::Execute& action) {
     ++executes;
     const auto it = connections_.find(action.connection);
     if (it == connections_.end()) return;
     const std::string name = it->second;
     queue_->After(Delay(name), [this, action, name] {
       FakeDatabase& database = Database(name);
-      if (database.dead) Lose(action.connection, name);
+      if (database.dead) ResetConnection(action.connection, name);
       if (database.dead || cut.contains(name)) return;
       database.Deliver([this, action, name] { Run(action, name); });
     });
@@ -192,9 +195,9 @@
         {number_, action.connection}, action.call,
         [this, action, name](const core::ExecuteAnswer& answer) {
           Duration delay = Delay(name);
-          if (Chance(network_.delay_answer)) delay += network_.answer_delay;
-          if (Chance(network_.lose_answer)) {
-            Lose(action.connection, name);
+          if (Occurs(network_.delay_answer)) delay += network_.answer_delay;
+          if (Occurs(network_.lose_answer)) {
+            ResetConnection(action.connection, name);
             return;
           }
           queue_->After(delay, [this, action, name, answer] {
@@ -206,7 +209,7 @@
         });
   }
 
-  void Do(const group::Control& action) {
+  void Perform(const group::Control& action) {
     ++control_calls;
     if (std::holds_alternative<core::PromoteCall>(action.request)) {
       ++promotions[action.database];
@@ -229,21 +232,23 @@
                       [answer] { answer(std::monostate{}); });
         return;
       }
-      database.Deliver([this, action, answer] { Ask(action, answer); });
+      database.Deliver([this, action, answer] { RunControl(action, answer); });
     });
   }
 
-  void Ask(const group::Control& action,
-           const std::function<void(const core::ControlAnswer&)>& answer) {
+  void RunControl(
+      const group::Control& action,
+      const std::function<void(const core::ControlAnswer&)>& answer) {
     const std::string& name = action.database;
     Database(name).Control(
-        action.request, [this, name, answer](const core::ControlAnswer& got) {
+        action.request,
+        [this, name, answer](const core::ControlAnswer& control_answer) {
           Duration delay = Delay(name);
-          if (Chance(network_.delay_answer)) delay += network_.answer_delay;
-          const bool lost = Chance(network_.lose_answer);
-          queue_->After(delay, [this, name, answer, got, lost] {
+          if (Occurs(network_.delay_answer)) delay += network_.answer_delay;
+          const bool lost = Occurs(network_.lose_answer);
+          queue_->After(delay, [this, name, answer, control_answer, lost] {
             if (cut.contains(name) || Database(name).dead) return;
-            answer(lost ? core::ControlAnswer{} : got);
+            answer(lost ? core::ControlAnswer{} : control_answer);
           });
         });
   }
@@ -256,8 +261,8 @@
     for (const auto& [id, database] : connections_) {
       if (database == name) lost.push_back(id);
     }
-    for (const uint64_t id : lost) Lose(id, name);
-    for (const Unanswered& call : std::exchange(unanswered_[name], {})) {
+    for (const uint64_t id : lost) ResetConnection(id, name);
+    for (const UnansweredCall& call : std::exchange(unanswered_[name], {})) {
       if (*call.answered) continue;
       queue_->After(Delay(name),
                     [answer = call.answer] { answer(std::monostate{}); });
@@ -265,7 +270,7 @@
   }
 
  private:
-  struct Unanswered {
+  struct UnansweredCall {
     std::shared_ptr<bool> answered;
     std::function<void(const core::ControlAnswer&)> answer;
   };
@@ -278,9 +283,9 @@
   Respond respond_;
   std::unique_ptr<group::Keeper> keeper_;
   bool frozen_ = false;
-  std::deque<group::Event> held_;
+  std::deque<group::Event> deferred_events_;
   std::map<uint64_t, std::string> connections_;
-  std::map<std::string, std::vector<Unanswered>> unanswered_;
+  std::map<std::string, std::vector<UnansweredCall>> unanswered_;
   TimePoint tick_at_;
 };
 
--- a/testsuite/support/group/random_run.h
+++ b/testsuite/support/group/random_run.h
@@ -53,18 +53,18 @@
   std::vector<std::string> Run(const std::vector<Fault>& faults) {
     for (int i = 0; i < kSessions; ++i) {
       sessions_.push_back(std::make_unique<Session>());
-      Next(sessions_.back().get());
+      RunNext(sessions_.back().get());
     }
     for (const Fault& fault : faults) {
       group_.time().After(milliseconds(fault.at_ms),
-                          [this, fault] { Strike(fault); });
+                          [this, fault] { InjectFault(fault); });
     }
     group_.time().RunFor(kLoadTime);
     stopped_ = true;
     group_.time().RunFor(std::chrono::seconds(5));
-    std::vector<std::string> wrong = group_.HealAndCheck();
-    for (std::string& text : wrong_) wrong.push_back(std::move(text));
-    return wrong;
+    std::vector<std::string> errors = group_.HealAndCheck();
+    for (std::string& text : errors_) errors.push_back(std::move(text));
+    return errors;
   }
 
   FakeGroup& group() { return group_; }
@@ -77,47 +77,48 @@
     std::string last_done;
   };
 
-  int Dice(int sides) {
-    return static_cast<int>(group_.random()() % static_cast<uint64_t>(sides));
+  int RandomBelow(int limit) {
+    return static_cast<int>(group_.random()() % static_cast<uint64_t>(limit));
   }
 
   /// Returns the number of a random live keeper, -1 if there is none.
-  int SomeKeeper() {
+  int PickKeeper() {
     std::vector<int> alive;
     for (size_t i = 0; i < group_.keepers(); ++i) {
       if (group_.keeper(static_cast<int>(i)).alive()) {
         alive.push_back(static_cast<int>(i));
       }
     }
-    return alive.empty() ? -1 : alive[Dice(static_cast<int>(alive.size()))];
+    return alive.empty() ? -1
+                         : alive[RandomBelow(static_cast<int>(alive.size()))];
   }
 
-  void Later(Session* session) {
-    group_.time().After(milliseconds(1 + Dice(30)),
-                        [this, session] { Next(session); });
+  void ScheduleNext(Session* session) {
+    group_.time().After(milliseconds(1 + RandomBelow(30)),
+                        [this, session] { RunNext(session); });
   }
 
-  void Next(Session* session) {
+  void RunNext(Session* session) {
     if (stopped_) return;
-    const int keeper = SomeKeeper();
+    const int keeper = PickKeeper();
     if (keeper < 0) {
-      Later(session);
+      ScheduleNext(session);
       return;
     }
-    const int dice = Dice(10);
-    if (dice < 4) {
+    const int choice = RandomBelow(10);
+    if (choice < 4) {
       SendWrite(keeper, session);
-    } else if (dice < 9) {
+    } else if (choice < 9) {
       SendRead(keeper, session);
     } else {
       BeginTransaction(keeper, session);
     }
   }
 
-  milliseconds Within() { return milliseconds(150 + Dice(1500)); }
+  milliseconds RandomTimeout() { return milliseconds(150 + RandomBelow(1500)); }
 
   void SendWrite(int keeper, Session* session) {
-    const auto request = group_.Write(Within(), Dice(2) == 0);
+    const auto request = group_.Write(RandomTimeout(), RandomBelow(2) == 0);
     group_.Send(keeper, request,
                 [this, session, request](const core::StatementAnswer& answer) {
                   WriteAnswered(session, request, answer);
@@ -130,20 +131,20 @@
       session->seen = std::max(session->seen, answer.seen());
       session->last_done = request.sql;
     }
-    const int keeper = SomeKeeper();
+    const int keeper = PickKeeper();
     if (answer.kind() != core::OutcomeKind::kUnknown || keeper < 0 ||
         stopped_) {
-      Later(session);
+      ScheduleNext(session);
       return;
     }
     // The outcome is unknown to the caller: it settles the request or repeats
     // it.
-    if (Dice(3) == 0) {
-      group_.Settle(keeper, request.request_id, Within());
-      Later(session);
+    if (RandomBelow(3) == 0) {
+      group_.Settle(keeper, request.request_id, RandomTimeout());
+      ScheduleNext(session);
       return;
     }
-    request.deadline = group_.time().now() + Within();
+    request.deadline = group_.time().now() + RandomTimeout();
     auto then = [this, session, request](const core::StatementAnswer& again) {
       WriteAnswered(session, request, again);
     };
@@ -153,31 +154,31 @@
   void SendRead(int keeper, Session* session) {
     constexpr int kAges[] = {0, 100, 5000};
     const std::string value = session->last_done;
-    const auto request = group_.Read(value, Within(), session->seen,
-                                     milliseconds(kAges[Dice(3)]));
+    const auto request = group_.Read(value, RandomTimeout(), session->seen,
+                                     milliseconds(kAges[RandomBelow(3)]));
     group_.Send(
         keeper, request,
         [this, session, value](const core::StatementAnswer& answer) {
           if (answer.kind() == core::OutcomeKind::kDone) {
             if (!value.empty() && !answer.result_json().ends_with(" yes")) {
-              wrong_.push_back("a read by " + answer.database() +
-                               " missed its session's write " + value);
+              errors_.push_back("a read by " + answer.database() +
+                                " missed its session's write " + value);
             }
             session->seen = std::max(session->seen, answer.seen());
           }
-          Later(session);
+          ScheduleNext(session);
         });
   }
 
   // ---- transactions: begin, one write, commit or rollback ----
   void BeginTransaction(int keeper, Session* session) {
-    auto request = group_.Write(Within());
+    auto request = group_.Write(RandomTimeout());
     request.step = core::Step::kBegin;
     group_.Send(keeper, request,
                 [this, keeper, session](const core::StatementAnswer& answer) {
                   const bool open = answer.kind() == core::OutcomeKind::kDone;
                   if (!open || !group_.keeper(keeper).alive()) {
-                    Later(session);
+                    ScheduleNext(session);
                     return;
                   }
                   InTransaction(keeper, session, answer.transaction());
@@ -185,29 +186,31 @@
   }
 
   void InTransaction(int keeper, Session* session, const std::string& id) {
-    auto request = group_.Write(Within());
+    auto request = group_.Write(RandomTimeout());
     request.transaction = id;
     const std::string value = request.sql;
     group_.Send(keeper, request,
                 [this, keeper, session, id,
                  value](const core::StatementAnswer& answer) {
-                  const bool ran = answer.kind() == core::OutcomeKind::kDone;
-                  group_.time().After(milliseconds(1 + Dice(20)),
-                                      [this, keeper, session, id, value, ran] {
-                                        End(keeper, session, id, value, ran);
-                                      });
+                  const bool write_done =
+                      answer.kind() == core::OutcomeKind::kDone;
+                  group_.time().After(
+                      milliseconds(1 + RandomBelow(20)),
+                      [this, keeper, session, id, value, write_done] {
+                        EndTransaction(keeper, session, id, value, write_done);
+                      });
                 });
   }
 
-  void End(int keeper, Session* session, const std::string& id,
-           const std::string& value, bool ran) {
+  void EndTransaction(int keeper, Session* session, const std::string& id,
+                      const std::string& value, bool write_done) {
     if (!group_.keeper(keeper).alive()) {
-      Later(session);
+      ScheduleNext(session);
       return;
     }
-    auto request = group_.Write(Within());
-    request.step =
-        ran && Dice(4) > 0 ? core::Step::kCommit : core::Step::kRollback;
+    auto request = group_.Write(RandomTimeout());
+    request.step = write_done && RandomBelow(4) > 0 ? core::Step::kCommit
+                                                    : core::Step::kRollback;
     request.transaction = id;
     const bool commits = request.step == core::Step::kCommit;
     group_.Send(
@@ -217,41 +220,41 @@
             session->seen = std::max(session->seen, answer.seen());
             session->last_done = value;
           }
-          Later(session);
+          ScheduleNext(session);
         });
   }
 
   // ---- faults ----
-  void Undo(const Fault& fault, std::function<void()> undo) {
+  void ScheduleUndo(const Fault& fault, std::function<void()> undo) {
     group_.time().After(milliseconds(fault.for_ms), std::move(undo));
   }
 
-  void Strike(const Fault& fault) {
+  void InjectFault(const Fault& fault) {
     const std::string name(1, static_cast<char>('a' + fault.which % 3));
     FakeDatabase& database = group_[name];
-    const int keeper = SomeKeeper();
+    const int keeper = PickKeeper();
     switch (fault.kind) {
       case FaultKind::kKill:
         if (database.dead) return;
         group_.Kill(name);
-        Undo(fault, [&database] { database.Revive(); });
+        ScheduleUndo(fault, [&database] { database.Revive(); });
         return;
       case FaultKind::kFreeze:
         if (database.dead) return;
         database.frozen = true;
-        Undo(fault, [&database] {
+        ScheduleUndo(fault, [&database] {
           if (database.frozen) database.Thaw();
         });
         return;
       case FaultKind::kCutPeers:
         database.peers_cut = true;
-        Undo(fault, [&database] { database.peers_cut = false; });
+        ScheduleUndo(fault, [&database] { database.peers_cut = false; });
         return;
       case FaultKind::kCutFromKeepers:
         for (size_t i = 0; i < group_.keepers(); ++i) {
           group_.keeper(static_cast<int>(i)).cut.insert(name);
         }
-        Undo(fault, [this, name] {
+        ScheduleUndo(fault, [this, name] {
           for (size_t i = 0; i < group_.keepers(); ++i) {
             group_.keeper(static_cast<int>(i)).cut.erase(name);
           }
@@ -261,7 +264,7 @@
         if (keeper < 0) return;
         group_.keeper(keeper).extra_delay[name] =
             milliseconds(fault.for_ms / 4);
-        Undo(fault, [this, keeper, name] {
+        ScheduleUndo(fault, [this, keeper, name] {
           group_.keeper(keeper).extra_delay.erase(name);
         });
         return;
@@ -270,50 +273,51 @@
         return;
       case FaultKind::kStall:
         database.stall = milliseconds(fault.for_ms);
-        Undo(fault, [&database] { database.stall = Duration{0}; });
+        ScheduleUndo(fault, [&database] { database.stall = Duration{0}; });
         return;
       case FaultKind::kLoseAnswers:
         if (keeper < 0) return;
         group_.keeper(keeper).network().lose_answer = 0.2;
-        Undo(fault, [this, keeper] {
+        ScheduleUndo(fault, [this, keeper] {
           group_.keeper(keeper).network().lose_answer = 0;
         });
         return;
       case FaultKind::kLateAnswers:
         if (keeper < 0) return;
         group_.keeper(keeper).network().delay_answer = 0.2;
-        Undo(fault, [this, keeper] {
+        ScheduleUndo(fault, [this, keeper] {
           group_.keeper(keeper).network().delay_answer = 0;
         });
         return;
       default:
-        StrikeKeeper(fault, keeper, name);
+        InjectKeeperFault(fault, keeper, name);
     }
   }
 
-  void StrikeKeeper(const Fault& fault, int keeper, const std::string& name) {
+  void InjectKeeperFault(const Fault& fault, int keeper,
+                         const std::string& name) {
     if (keeper < 0) return;
     switch (fault.kind) {
       case FaultKind::kFreezeKeeper:
         group_.FreezeKeeper(keeper);
-        Undo(fault, [this, keeper] { group_.keeper(keeper).Thaw(); });
+        ScheduleUndo(fault, [this, keeper] { group_.keeper(keeper).Thaw(); });
         return;
       case FaultKind::kKillKeeper:
         group_.keeper(keeper).Kill();
-        Undo(fault, [this] { group_.AddKeeper(); });
+        ScheduleUndo(fault, [this] { group_.AddKeeper(); });
         return;
       case FaultKind::kAddKeeper:
         if (group_.keepers() < 4) group_.AddKeeper();
         return;
       case FaultKind::kStepDown:
         group_.keeper(keeper).Feed(core::group::StepDown{});
-        Undo(fault, [this, keeper] {
+        ScheduleUndo(fault, [this, keeper] {
           group_.keeper(keeper).Feed(core::group::StepUp{});
         });
         return;
       case FaultKind::kLeaving:
         group_.Policy(name);
-        Undo(fault, [this] { group_.Policy(""); });
+        ScheduleUndo(fault, [this] { group_.Policy(""); });
         return;
       default:
         return;
@@ -323,7 +327,7 @@
   FakeGroup group_;
   bool stopped_ = false;
   std::vector<std::unique_ptr<Session>> sessions_;
-  std::vector<std::string> wrong_;
+  std::vector<std::string> errors_;
 };
 
 }  // namespace ryefold::test
--- a/testsuite/support/group/share_trial.h
+++ b/testsuite/support/group/share_trial.h
@@ -33,9 +33,10 @@
   double reached() const { return Ratio(by_replica, allowed); }
 
  private:
-  static double Ratio(uint64_t part, uint64_t whole) {
-    return whole == 0 ? 0
-                      : static_cast<double>(part) / static_cast<double>(whole);
+  static double Ratio(uint64_t factor, uint64_t whole) {
+    return whole == 0
+               ? 0
+               : static_cast<double>(factor) / static_cast<double>(whole);
   }
 };
 
@@ -51,12 +52,13 @@
 
   ShareFigures Run(Duration time) {
     const TimePoint end = group_.time().now() + time;
-    const Duration gap = Duration(std::chrono::seconds(1)) / load_.rate;
+    const Duration mean_interval =
+        Duration(std::chrono::seconds(1)) / load_.rate;
     while (group_.time().now() < end) {
-      Next();
+      SendNext();
       // Irregular arrivals: intervals between 0.5 and 1.5 times the mean.
-      const auto part = 500 + group_.random()() % 1000;
-      group_.time().RunFor(gap * part / 1000);
+      const auto factor = 500 + group_.random()() % 1000;
+      group_.time().RunFor(mean_interval * factor / 1000);
     }
     group_.time().RunFor(std::chrono::seconds(2));
     figures_.unanswered = figures_.reads - answered_;
@@ -64,12 +66,12 @@
   }
 
  private:
-  void Next() {
+  void SendNext() {
     const size_t session = group_.random()() % seen_.size();
     if (group_.random()() % load_.write_every == 0) {
       group_.Send(0, group_.Write(std::chrono::seconds(1)),
                   [this, session](const core::StatementAnswer& answer) {
-                    See(session, answer);
+                    UpdateSession(session, answer);
                   });
       return;
     }
@@ -83,11 +85,11 @@
                   if (answer.kind() != core::OutcomeKind::kDone) return;
                   ++answered_;
                   if (answer.from_replica()) ++figures_.by_replica;
-                  See(session, answer);
+                  UpdateSession(session, answer);
                 });
   }
 
-  void See(size_t session, const core::StatementAnswer& answer) {
+  void UpdateSession(size_t session, const core::StatementAnswer& answer) {
     if (answer.kind() != core::OutcomeKind::kDone) return;
     seen_[session] = std::max(seen_[session], answer.seen());
   }
