--- a/src/libcore/session/proxy_pool.cc
+++ b/src/libcore/session/proxy_pool.cc
@@ -1,4 +1,4 @@
-// Connections to databases: opening, lending, ending them.
+// Database connections: opening, use and closing.
 
 #include <algorithm>
 #include <utility>
@@ -10,77 +10,79 @@
 
 using std::chrono::milliseconds;
 
-/// Time for a new connection to be let in, by an overloaded database too.
-constexpr milliseconds kOpenTime{1000};
-/// Connections opened to one database at a time: each takes one of its slots
-/// for that while.
-constexpr uint32_t kMaxOpening = 2;
-/// Pauses before the next opening after one was refused, doubled each time.
-constexpr milliseconds kLeastPause{50};
-constexpr milliseconds kMostPause{800};
-constexpr uint32_t kMaxDoublings = 4;
-/// Pause after a database said that it holds all the connections it takes:
-/// other instances close idle ones at about this pace.
-constexpr milliseconds kAfterTooMany{250};
-/// Part of a database's connections that one instance takes at most, and the
-/// least it may take. After a loss of power a database counts the dead
-/// connections for some seconds; with larger parts there is no room beside them
-/// and the restarted instances are turned away.
-constexpr uint32_t kConnectionPart = 14;
-constexpr uint32_t kLeastConnections = 2;
-/// Connections to a database of a group that others keep: one in use and one
-/// for a transaction that rests. They are opened while no keeper is in reach,
-/// by a part of the instances, and closed when idle for `kIdleTime`.
-constexpr uint32_t kConnectionsAlone = 2;
-/// For so long a database may go on counting the connections of the process
-/// that was here before, if its machine lost power.
-constexpr milliseconds kLingerTime{3500};
-/// Idle connections beyond the first are closed after this long, for the use
-/// of other instances and for the reason above. Not sooner: opening costs the
-/// database a slot for a while.
-constexpr milliseconds kIdleTime{500};
-/// The same for one that belongs to a workspace, which comes back to it less
-/// often than all callers together. One that another workspace needs goes
-/// sooner.
-constexpr milliseconds kWorkspaceIdleTime{3000};
-/// A statement unanswered for this long will not be answered: the connection
-/// has gone silent. Exceeds every route's statement timeout seen so far.
-constexpr milliseconds kSilentTime{3000};
-/// The same for a question of this instance's own, when nothing at all has been
-/// heard of the database since: no caller loses anything by its end.
-constexpr milliseconds kOwnSilentTime{1000};
-/// A leaving primary takes work until its successor leads, but no longer than
-/// this; it may end seven seconds after it said that it leaves.
-constexpr milliseconds kDrainingPrimary{5000};
-/// Silence after which a database is avoided: several times what it usually
-/// takes, and at least this.
-constexpr milliseconds kLeastSuspicion{250};
-constexpr int kSuspicionFactor = 8;
+/// Timeout for opening a connection, also to an overloaded database.
+constexpr milliseconds kOpenTimeout{1000};
+/// Connections being opened to one database at a time: each takes one of the
+/// database's slots meanwhile.
+constexpr uint32_t kMaxConcurrentOpens = 2;
+/// Bounds of the exponential backoff after a refused connection.
+constexpr milliseconds kMinOpenBackoff{50};
+constexpr milliseconds kMaxOpenBackoff{800};
+constexpr uint32_t kMaxBackoffDoublings = 4;
+/// Backoff after a database reports that its connection limit is reached: about
+/// the time in which other instances close idle connections.
+constexpr milliseconds kConnectionLimitBackoff{250};
+/// Divisor of the database's connection limit for one instance's maximum, and
+/// the lower bound of the result. After a power loss, databases count dead
+/// connections for some seconds; with larger shares no room would be left and
+/// restarted instances would be refused.
+constexpr uint32_t kConnectionShareDivisor = 14;
+constexpr uint32_t kMinConnections = 2;
+/// Connections of an instance that is not a keeper: one in use and one for an
+/// idle transaction. A part of the instances opens them while no keeper is
+/// reachable and closes them when idle for `kIdleTimeout`.
+constexpr uint32_t kNonKeeperConnections = 2;
+/// Time for which a database may count connections of this instance's previous
+/// process after its host lost power.
+constexpr milliseconds kDeadConnectionPeriod{3500};
+/// Idle time after which connections beyond the first are closed, to free them
+/// for other instances and for the case of a power loss. Not shorter, since
+/// opening a connection occupies a slot of the database.
+constexpr milliseconds kIdleTimeout{500};
+/// The same for a connection of a workspace, which is reused less often than
+/// one shared by all callers. It is evicted earlier if another workspace needs
+/// it.
+constexpr milliseconds kWorkspaceIdleTimeout{3000};
+/// Time without a reply after which a connection is considered lost. Exceeds
+/// the statement timeout of every known route.
+constexpr milliseconds kAnswerTimeout{3000};
+/// The same for the proxy's own calls, if the database has sent nothing since.
+/// Closing the connection affects no caller.
+constexpr milliseconds kInternalCallTimeout{1000};
+/// A draining primary is used until its successor leads, but no longer than
+/// this: it may stop seven seconds after the start of draining.
+constexpr milliseconds kDrainingPrimaryGrace{5000};
+/// Time without a response after which a database is suspected: a multiple of
+/// its usual latency, with this lower bound.
+constexpr milliseconds kMinSuspicionTime{250};
+constexpr int kSuspicionLatencyFactor = 8;
 
 }  // namespace
 
-bool Proxy::Impl::Suspect(TimePoint now, const DatabaseState& database) const {
+bool Proxy::Impl::IsDatabaseSuspected(TimePoint now,
+                                      const DatabaseState& database) const {
   if (database.refusals > 0 &&
       database.pool.size() == database.pool.opening()) {
     return true;
   }
-  if (database.silent_since == TimePoint()) return false;
-  const auto usual = std::chrono::duration_cast<milliseconds>(
-      database.latency.mean() * kSuspicionFactor);
-  return now - database.silent_since > std::max(kLeastSuspicion, usual);
+  if (database.unanswered_since == TimePoint()) return false;
+  const auto usual_latency = std::chrono::duration_cast<milliseconds>(
+      database.latency.mean() * kSuspicionLatencyFactor);
+  return now - database.unanswered_since >
+         std::max(kMinSuspicionTime, usual_latency);
 }
 
-/// Whether it is worth opening a connection for a statement that waits: not so
-/// when the last attempt failed a moment ago or hangs.
-bool Proxy::Impl::MayAnswer(TimePoint now,
-                            const DatabaseState& database) const {
-  const bool unreached =
+/// Whether opening a connection for a waiting statement is likely to succeed.
+/// False while an attempt is pending or in backoff after a failure.
+bool Proxy::Impl::MayAcceptConnection(TimePoint now,
+                                      const DatabaseState& database) const {
+  const bool unreachable =
       database.refusals > 0 && database.pool.size() == database.pool.opening();
-  if (!unreached) return !Suspect(now, database);
+  if (!unreachable) return !IsDatabaseSuspected(now, database);
   return database.pool.opening() == 0 && now >= database.open_not_before;
 }
 
-uint32_t Proxy::Impl::Window(const DatabaseState& database) const {
+uint32_t Proxy::Impl::InFlightLimit(const DatabaseState& database) const {
   const auto group = groups_.find(database.info.group);
   const size_t keepers =
       group == groups_.end() ? 0 : group->second->keepers.size();
@@ -88,78 +90,81 @@
   return WindowOf(database.info.slots, holders);
 }
 
-bool Proxy::Impl::TakesWork(TimePoint now,
-                            const DatabaseState& database) const {
+bool Proxy::Impl::AcceptsWork(TimePoint now,
+                              const DatabaseState& database) const {
   if (now < database.busy_until) return false;
-  if (database.in_flight >= Window(database)) return false;
+  if (database.in_flight >= InFlightLimit(database)) return false;
   if (!database.info.draining) return true;
   const auto group = groups_.find(database.info.group);
   return group != groups_.end() && group->second->primary == database.info.id &&
-         now < database.draining_since + kDrainingPrimary;
+         now < database.draining_since + kDrainingPrimaryGrace;
 }
 
-uint32_t Proxy::Impl::ConnectionCap(TimePoint now,
-                                    const DatabaseState& database) const {
+uint32_t Proxy::Impl::ConnectionLimit(TimePoint now,
+                                      const DatabaseState& database) const {
   const auto group = groups_.find(database.info.group);
-  if (group == groups_.end()) return kLeastConnections;
-  if (!group->second->kept) return kConnectionsAlone;
+  if (group == groups_.end()) return kMinConnections;
+  if (!group->second->is_keeper) return kNonKeeperConnections;
   const uint32_t limit = group->second->limits.connection_limit;
   const size_t keepers = group->second->keepers.size();
   const bool by_workspace = workspaces_.keys_required();
   if (keepers > 0) {
     const uint32_t share = ConnectionsOfKeeper(limit, keepers, by_workspace);
-    const bool young = now - instances_since_ < kLingerTime;
-    if (!by_workspace || !young) return share;
-    return std::max(kLeastConnections, share / 2);
+    const bool recently_started =
+        now - instances_since_ < kDeadConnectionPeriod;
+    if (!by_workspace || !recently_started) return share;
+    return std::max(kMinConnections, share / 2);
   }
-  return std::max(kLeastConnections, limit / kConnectionPart);
+  return std::max(kMinConnections, limit / kConnectionShareDivisor);
 }
 
 bool Proxy::Impl::MayOpen(TimePoint now, const DatabaseState& database) const {
   return now >= database.open_not_before &&
-         database.pool.opening() < kMaxOpening &&
-         database.pool.size() < ConnectionCap(now, database);
+         database.pool.opening() < kMaxConcurrentOpens &&
+         database.pool.size() < ConnectionLimit(now, database);
 }
 
-/// The same for a workspace, for which an idle connection of another one may be
-/// closed.
+/// Like MayOpen, but for a workspace, for which an idle connection of another
+/// workspace may be evicted.
 bool Proxy::Impl::MayOpenFor(TimePoint now, const DatabaseState& database,
                              const std::string& workspace) const {
   const DatabasePool& pool = database.pool;
   if (now < database.open_not_before) return false;
-  if (pool.opening() >= kMaxOpening || pool.opening(workspace) > 0) {
+  if (pool.opening() >= kMaxConcurrentOpens || pool.opening(workspace) > 0) {
     return false;
   }
-  const uint32_t cap = ConnectionCap(now, database);
-  if (pool.size() < cap) return true;
-  return pool.size() == cap && pool.EvictableFor(now, workspace).has_value();
+  const uint32_t max_connections = ConnectionLimit(now, database);
+  if (pool.size() < max_connections) return true;
+  return pool.size() == max_connections &&
+         pool.EvictableFor(now, workspace).has_value();
 }
 
-void Proxy::Impl::Open(TimePoint now, DatabaseState* database,
-                       const std::string& workspace) {
+void Proxy::Impl::OpenDatabaseConnection(TimePoint now, DatabaseState* database,
+                                         const std::string& workspace) {
   Connection connection;
   connection.id = ++last_connection_;
   connection.database = database->info.id;
   connection.workspace = workspace;
-  connection.open_until = now + kOpenTime;
+  connection.open_deadline = now + kOpenTimeout;
   const ConnectionId id = connection.id;
   connections_.emplace(id, std::move(connection));
   database->pool.Opening(now, id, workspace);
   ++database->unanswered;
-  Sent(now, database);
+  RecordCallSent(now, database);
   ++counters_.connections_opened;
   port_->OpenConnection(id, database->info, workspace);
 }
 
-Connection* Proxy::Impl::TakeIdle(TimePoint now, DatabaseState* database,
-                                  const Caller& caller) {
+Connection* Proxy::Impl::TakeIdleConnection(TimePoint now,
+                                            DatabaseState* database,
+                                            const Caller& caller) {
   const std::vector<DatabasePool::Idle>& idle = database->pool.idle();
   Connection* chosen = nullptr;
   for (auto each = idle.rbegin(); each != idle.rend(); ++each) {
     if (each->workspace != caller.workspace) continue;
     Connection* connection = &connections_.at(each->connection);
     if (chosen == nullptr) chosen = connection;
-    // One that already has the session's variables saves bringing them.
+    // Prefer a connection that already has the session's variables.
     if (connection->variables != caller.variables) continue;
     chosen = connection;
     break;
@@ -170,28 +175,31 @@
   return chosen;
 }
 
-Connection* Proxy::Impl::Acquire(TimePoint now, DatabaseState* database,
-                                 const Caller& caller) {
-  Connection* connection = TakeIdle(now, database, caller);
+Connection* Proxy::Impl::AcquireConnection(TimePoint now,
+                                           DatabaseState* database,
+                                           const Caller& caller) {
+  Connection* connection = TakeIdleConnection(now, database, caller);
   if (connection != nullptr) return connection;
   if (!MayOpenFor(now, *database, caller.workspace)) return nullptr;
-  if (database->pool.size() >= ConnectionCap(now, *database)) {
+  if (database->pool.size() >= ConnectionLimit(now, *database)) {
     const auto evicted = database->pool.EvictableFor(now, caller.workspace);
     if (!evicted.has_value()) return nullptr;
     CloseConnection(now, FindConnection(*evicted));
     ++counters_.connections_evicted;
   }
-  Open(now, database, caller.workspace);
+  OpenDatabaseConnection(now, database, caller.workspace);
   return nullptr;
 }
 
-void Proxy::Impl::Sent(TimePoint now, DatabaseState* database) {
-  if (database->silent_since == TimePoint()) database->silent_since = now;
+void Proxy::Impl::RecordCallSent(TimePoint now, DatabaseState* database) {
+  if (database->unanswered_since == TimePoint()) {
+    database->unanswered_since = now;
+  }
 }
 
-void Proxy::Impl::Heard(TimePoint now, DatabaseState* database) {
-  database->last_heard = now;
-  database->silent_since = database->unanswered > 0 ? now : TimePoint();
+void Proxy::Impl::RecordContact(TimePoint now, DatabaseState* database) {
+  database->last_contact = now;
+  database->unanswered_since = database->unanswered > 0 ? now : TimePoint();
 }
 
 void Proxy::Impl::ConnectionOpened(TimePoint now, ConnectionId id) {
@@ -207,8 +215,8 @@
         .Add("refusals", database->refusals);
   }
   database->refusals = 0;
-  Heard(now, database);
-  Released(now, connection);
+  RecordContact(now, database);
+  ReleaseIfIdle(now, connection);
 }
 
 void Proxy::Impl::ConnectionRefused(TimePoint now, ConnectionId id,
@@ -218,8 +226,8 @@
   DatabaseState* database = FindDatabase(connection->database);
   DropConnection(now, id);
   if (error == ErrorCode::kTooManyConnections) {
-    Heard(now, database);
-    database->open_not_before = now + kAfterTooMany;
+    RecordContact(now, database);
+    database->open_not_before = now + kConnectionLimitBackoff;
     return;
   }
   ++database->refusals;
@@ -227,11 +235,12 @@
     Event(events_, EventWeight::kState, "database_refuses")
         .Add("database", database->info.id)
         .Add("error", ErrorName(error))
-        .Add("last_heard", now - database->last_heard);
+        .Add("last_heard", now - database->last_contact);
   }
-  const uint32_t doublings = std::min(database->refusals - 1, kMaxDoublings);
+  const uint32_t doublings =
+      std::min(database->refusals - 1, kMaxBackoffDoublings);
   database->open_not_before =
-      now + std::min(kLeastPause * (1 << doublings), kMostPause);
+      now + std::min(kMinOpenBackoff * (1 << doublings), kMaxOpenBackoff);
 }
 
 void Proxy::Impl::DropConnection(TimePoint now, ConnectionId id) {
@@ -239,18 +248,18 @@
   if (found == connections_.end()) return;
   const Connection& connection = found->second;
   DatabaseState* database = FindDatabase(connection.database);
-  uint32_t unanswered = static_cast<uint32_t>(connection.expected.size());
-  for (const Expected& expected : connection.expected) {
-    if (expected.kind == ExpectedKind::kStatement && database->in_flight > 0) {
+  uint32_t unanswered = static_cast<uint32_t>(connection.pending_calls.size());
+  for (const PendingCall& call : connection.pending_calls) {
+    if (call.kind == PendingCallKind::kStatement && database->in_flight > 0) {
       --database->in_flight;
     }
-    if (expected.kind == ExpectedKind::kStatus) {
+    if (call.kind == PendingCallKind::kStatus) {
       database->status_pending = false;
     }
   }
   if (!connection.open) ++unanswered;
   database->unanswered -= std::min(unanswered, database->unanswered);
-  if (database->unanswered == 0) database->silent_since = TimePoint();
+  if (database->unanswered == 0) database->unanswered_since = TimePoint();
   database->pool.Remove(id);
   connections_.erase(found);
   (void)now;
@@ -262,33 +271,33 @@
   DropConnection(now, id);
 }
 
-void Proxy::Impl::SendOwn(TimePoint now, Connection* connection,
-                          const std::vector<BackendCall>& calls,
-                          const std::vector<ExpectedKind>& kinds) {
+void Proxy::Impl::SendInternalCalls(TimePoint now, Connection* connection,
+                                    const std::vector<BackendCall>& calls,
+                                    const std::vector<PendingCallKind>& kinds) {
   DatabaseState* database = FindDatabase(connection->database);
-  for (const ExpectedKind kind : kinds) {
-    connection->expected.push_back({kind, 0, now, milliseconds(0)});
+  for (const PendingCallKind kind : kinds) {
+    connection->pending_calls.push_back({kind, 0, now, milliseconds(0)});
   }
   database->unanswered += static_cast<uint32_t>(calls.size());
-  Sent(now, database);
+  RecordCallSent(now, database);
   port_->SendCalls(connection->id, calls);
 }
 
 void Proxy::Impl::ProbeGroup(TimePoint now, Group* group) {
   for (const std::string& id : group->databases) {
-    // One connection beyond the cap, so that a database of which all
-    // connections are taken is not mistaken for a silent one.
-    AskStatus(now, FindDatabase(id), /*beyond_cap=*/true);
+    // One connection beyond the limit distinguishes a database whose
+    // connections are all in use from an unresponsive one.
+    RequestStatus(now, FindDatabase(id), /*beyond_limit=*/true);
   }
 }
 
-/// Connections can fall silent for good all at once, without a reset, while
-/// new ones work. When nothing at all has been heard of a database since a
-/// statement was sent there, its idle connections are not trusted either.
-void Proxy::Impl::DropSilentIdle(TimePoint now, TimePoint since,
-                                 const std::string& database) {
+/// Closes idle connections of a database that has sent nothing since a
+/// statement was sent at `since`. All connections can stop delivering data at
+/// once, without a reset, while new ones work.
+void Proxy::Impl::CloseUnresponsiveIdle(TimePoint now, TimePoint since,
+                                        const std::string& database) {
   DatabaseState* state = FindDatabase(database);
-  if (state == nullptr || state->last_heard > since) return;
+  if (state == nullptr || state->last_contact > since) return;
   const std::vector<DatabasePool::Idle> idle = state->pool.idle();
   for (const DatabasePool::Idle& each : idle) {
     CloseConnection(now, FindConnection(each.connection));
@@ -296,63 +305,63 @@
 }
 
 void Proxy::Impl::TrimIdle(TimePoint now, DatabaseState* database) {
-  const size_t wanted = EnsureGroup(database->info.group)->kept ? 1 : 0;
-  if (database->pool.idle().size() <= wanted) return;
+  const size_t min_idle = EnsureGroup(database->info.group)->is_keeper ? 1 : 0;
+  if (database->pool.idle().size() <= min_idle) return;
   const DatabasePool::Idle& oldest = database->pool.idle().front();
   const milliseconds idle_time =
-      oldest.workspace.empty() ? kIdleTime : kWorkspaceIdleTime;
+      oldest.workspace.empty() ? kIdleTimeout : kWorkspaceIdleTimeout;
   if (now - oldest.since < idle_time) return;
   CloseConnection(now, FindConnection(oldest.connection));
 }
 
-bool Proxy::Impl::HasFallenSilent(TimePoint now,
+bool Proxy::Impl::IsAnswerOverdue(TimePoint now,
                                   const Connection& connection) const {
-  if (connection.expected.empty()) return false;
-  const TimePoint sent = connection.expected.front().sent;
-  if (now - sent > kSilentTime) return true;
+  if (connection.pending_calls.empty()) return false;
+  const TimePoint sent_at = connection.pending_calls.front().sent_at;
+  if (now - sent_at > kAnswerTimeout) return true;
   const bool for_callers =
-      connection.pinned != 0 ||
-      std::any_of(connection.expected.begin(), connection.expected.end(),
-                  [](const Expected& each) {
-                    return each.kind == ExpectedKind::kStatement ||
-                           each.kind == ExpectedKind::kBegin;
+      connection.pinned_caller != 0 ||
+      std::any_of(connection.pending_calls.begin(),
+                  connection.pending_calls.end(), [](const PendingCall& each) {
+                    return each.kind == PendingCallKind::kStatement ||
+                           each.kind == PendingCallKind::kBegin;
                   });
-  if (for_callers || now - sent <= kOwnSilentTime) return false;
-  return databases_.at(connection.database).last_heard <= sent;
+  if (for_callers || now - sent_at <= kInternalCallTimeout) return false;
+  return databases_.at(connection.database).last_contact <= sent_at;
 }
 
-/// Ends connections on which an answer is overdue, and openings that hang: a
-/// connection can go silent for good without a reset.
-void Proxy::Impl::CloseSilent(TimePoint now) {
-  std::vector<ConnectionId> silent;
-  std::vector<ConnectionId> hanging;
+/// Closes connections with an overdue reply and attempts that exceed the
+/// timeout: a connection can stop delivering data without a reset.
+void Proxy::Impl::CloseUnresponsive(TimePoint now) {
+  std::vector<ConnectionId> unresponsive;
+  std::vector<ConnectionId> stuck_opens;
   for (const auto& [id, connection] : connections_) {
     if (!connection.open) {
-      if (now >= connection.open_until) hanging.push_back(id);
-    } else if (HasFallenSilent(now, connection)) {
-      silent.push_back(id);
+      if (now >= connection.open_deadline) stuck_opens.push_back(id);
+    } else if (IsAnswerOverdue(now, connection)) {
+      unresponsive.push_back(id);
     }
   }
-  for (const ConnectionId id : hanging) {
-    // An opening that was given up is no sign of life: the silence goes on, or
-    // a database that nobody reaches would seem to have just fallen silent with
-    // each new attempt, and its loss would be noticed a second later.
+  for (const ConnectionId id : stuck_opens) {
+    // An attempt that timed out is not a response, so `unanswered_since` is
+    // preserved. Otherwise each attempt to an unreachable database would
+    // restart its suspicion, and its loss would be detected one second later.
     DatabaseState* database = FindDatabase(FindConnection(id)->database);
-    const TimePoint silent_since = database->silent_since;
+    const TimePoint unanswered_since = database->unanswered_since;
     port_->CloseConnection(id);
     ConnectionRefused(now, id, ErrorCode::kTimeout);
-    database->silent_since = silent_since;
+    database->unanswered_since = unanswered_since;
   }
-  for (const ConnectionId id : silent) {
+  for (const ConnectionId id : unresponsive) {
     port_->CloseConnection(id);
     ConnectionLost(now, id);
   }
 }
 
-void Proxy::Impl::ForgetGone(TimePoint now) {
+void Proxy::Impl::RemoveUnlistedDatabases(TimePoint now) {
   for (auto it = databases_.begin(); it != databases_.end();) {
     DatabaseState& database = it->second;
-    if (!database.unlisted || now < database.gone_at) {
+    if (!database.unlisted || now < database.removal_at) {
       ++it;
       continue;
     }
@@ -375,21 +384,21 @@
 }
 
 void Proxy::Impl::MaintainPools(TimePoint now) {
-  CloseSilent(now);
-  ForgetGone(now);
+  CloseUnresponsive(now);
+  RemoveUnlistedDatabases(now);
   for (auto& [id, database] : databases_) TrimIdle(now, &database);
   for (const auto& [name, group] : groups_) {
-    if (group->kept) OpenFirst(now, *group);
+    if (group->is_keeper) OpenStandbyConnections(now, *group);
   }
 }
 
-/// One connection stands ready to every database of a group that is kept: the
-/// first statement after a change of primary should not wait for it.
-void Proxy::Impl::OpenFirst(TimePoint now, const Group& group) {
+/// Keeps at least one connection open to each database of a group, so that the
+/// first statement after a failover does not wait for one.
+void Proxy::Impl::OpenStandbyConnections(TimePoint now, const Group& group) {
   for (const std::string& id : group.databases) {
     DatabaseState* database = FindDatabase(id);
     if (database->pool.size() > 0 || !MayOpen(now, *database)) continue;
-    Open(now, database, "");
+    OpenDatabaseConnection(now, database, "");
   }
 }
 
