--- a/src/bench/admission.cc
+++ b/src/bench/admission.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
-using testing_support::Overload;
+using testing_support::OverloadSimulation;
 using testing_support::Percentile;
 using testing_support::Scenario;
 using testing_support::Tally;
@@ -23,7 +23,7 @@
   return std::chrono::duration<double, std::milli>(time).count();
 }
 
-void PrintRows(Overload* run, const Scenario& scenario) {
+void PrintRows(OverloadSimulation* run, const Scenario& scenario) {
   std::printf("%-10s %5s %8s %8s %8s %8s %9s %9s %9s\n", "workspace", "class",
               "arrived", "served", "in time", "refused", "queue p99",
               "answ. p99", "refus. p95");
@@ -39,7 +39,7 @@
 }
 
 void PrintRun(const char* title, const Scenario& scenario) {
-  Overload run(scenario);
+  OverloadSimulation run(scenario);
   run.Run();
   std::printf("\n%s (%.0f/s capacity, %.0f s)\n", title, scenario.capacity(),
               std::chrono::duration<double>(scenario.length).count());
@@ -48,8 +48,8 @@
 }
 
 void PrintStorm() {
-  const Scenario scenario = testing_support::Storm();
-  Overload run(scenario);
+  const Scenario scenario = testing_support::RetryStorm();
+  OverloadSimulation run(scenario);
   run.Run();
   std::printf("\nstall of 3 s at half load, refused callers return\n");
   PrintRows(&run, scenario);
@@ -99,7 +99,7 @@
   for (auto _ : state) {
     now += microseconds(100);
     push();
-    queue.Finished(now);
+    queue.RecordFinished(now);
     benchmark::DoNotOptimize(queue.Pop(now, any));
   }
 }
@@ -119,7 +119,7 @@
   }
   for (auto _ : state) {
     now += milliseconds(20);
-    queue.Finished(now);
+    queue.RecordFinished(now);
     benchmark::DoNotOptimize(queue.Expire(now));
   }
 }
@@ -129,10 +129,10 @@
 }  // namespace ryefold
 
 int main(int argc, char** argv) {
-  using ryefold::testing_support::Storm;
-  using ryefold::testing_support::TwiceTheLoad;
-  ryefold::PrintRun("highest class alone", TwiceTheLoad(false));
-  ryefold::PrintRun("twice the load", TwiceTheLoad(true));
+  using ryefold::testing_support::DoubleLoad;
+  using ryefold::testing_support::RetryStorm;
+  ryefold::PrintRun("highest class alone", DoubleLoad(false));
+  ryefold::PrintRun("twice the load", DoubleLoad(true));
   ryefold::PrintStorm();
   std::printf("\n");
   benchmark::Initialize(&argc, argv);
--- a/src/bench/failover.cc
+++ b/src/bench/failover.cc
@@ -23,9 +23,9 @@
 };
 constexpr NamedLoss kLosses[] = {
     {"killed", Loss::kKilled},
-    {"cut off from its peers", Loss::kCutOff},
+    {"cut off from its peers", Loss::kCutFromPeers},
     {"frozen", Loss::kFrozen},
-    {"silent to everybody", Loss::kSilent},
+    {"silent to everybody", Loss::kUnreachable},
     {"killed with its keeper", Loss::kKilledWithKeeper},
     {"frozen with its keeper", Loss::kFrozenWithKeeper},
     {"planned change", Loss::kPlanned},
@@ -42,9 +42,9 @@
                 Milliseconds(figures.median), Milliseconds(figures.worst),
                 static_cast<double>(figures.promotions) /
                     static_cast<double>(figures.trials),
-                figures.wrong.size());
-    if (!figures.wrong.empty()) {
-      std::printf("  first: %s\n", figures.wrong.front().c_str());
+                figures.errors.size());
+    if (!figures.errors.empty()) {
+      std::printf("  first: %s\n", figures.errors.front().c_str());
     }
   }
 }
@@ -73,8 +73,8 @@
     const auto stall = False(shape, seconds(3), Duration{0}, trials);
     const auto quarter = False(shape, Duration{0}, milliseconds(250), trials);
     const auto half = False(shape, Duration{0}, milliseconds(500), trials);
-    const auto silent = MeasureLoss(shape, Loss::kSilent, trials, kSeed);
-    const auto cut = MeasureLoss(shape, Loss::kCutOff, trials, kSeed);
+    const auto silent = MeasureLoss(shape, Loss::kUnreachable, trials, kSeed);
+    const auto cut = MeasureLoss(shape, Loss::kCutFromPeers, trials, kSeed);
     std::printf("%10d %12lld | %9llu %9llu %9llu | %13.1f %13.1f\n", lost,
                 static_cast<long long>(shape.timing.unconfirmed_after.count()),
                 static_cast<unsigned long long>(stall),
--- a/src/bench/replica_share.cc
+++ b/src/bench/replica_share.cc
@@ -22,7 +22,7 @@
     const ShareFigures figures = trial.Run(std::chrono::seconds(seconds));
     std::printf("%-10s %6d %6d %8llu %8.3f %8.3f %8.3f %10llu\n", profile,
                 lag_ms, rate, static_cast<unsigned long long>(figures.reads),
-                figures.share(), figures.bound(), figures.reached(),
+                figures.share(), figures.bound(), figures.share_of_bound(),
                 static_cast<unsigned long long>(figures.unanswered));
   }
 }
--- a/src/include/ryefold/core/admission/queue.h
+++ b/src/include/ryefold/core/admission/queue.h
@@ -68,9 +68,9 @@
   std::optional<Ticket> Pop(TimePoint now,
                             const std::function<bool(const Ticket&)>& can_run);
 
-  /// Refuses every ticket whose deadline has passed or that is not served in
-  /// time at the current drain rate. Deadlines are checked on each call, the
-  /// drain rate every 20 ms at most.
+  /// Removes every ticket whose deadline has passed or that cannot be served in
+  /// time at the current drain rate, and returns them as refused. Deadlines are
+  /// checked on each call, the drain rate every 20 ms at most.
   std::vector<Refusal> Expire(TimePoint now);
 
   /// Removes one ticket. Returns false if no ticket with this tag is queued.
@@ -85,16 +85,16 @@
   /// While no statement runs, tickets wait for something other than capacity
   /// (for example a primary), and the time does not lower the measured drain
   /// rate.
-  void SetWorking(TimePoint now, bool working);
+  void SetStatementsRunning(TimePoint now, bool running);
 
   /// Replaces the measured drain rate by `per_second`. A queue that is rarely
   /// filled for long cannot measure its rate: after a standstill it keeps
   /// refusing by the low rate that it measured then, because refused tickets
   /// are never served and so never raise the rate.
-  void SetRate(double per_second);
+  void SetDrainRate(double per_second);
 
   /// Records a finished statement for the drain rate.
-  void Finished(TimePoint now);
+  void RecordFinished(TimePoint now);
 
   /// Returns the estimated time until a new ticket of this workspace is served,
   /// at the measured drain rate.
@@ -103,7 +103,7 @@
 
   size_t size() const;
   /// Returns the workspaces that have queued tickets, for `ConnectionShares`.
-  std::vector<std::string> waiting() const;
+  std::vector<std::string> waiting_workspaces() const;
   /// Returns the earliest deadline of all tickets, or `TimePoint::max()` if the
   /// queue is empty.
   TimePoint next_deadline() const;
@@ -121,7 +121,7 @@
   RetryBudget(double ratio, double burst)
       : ratio_(ratio), burst_(burst), available_(burst) {}
 
-  void FirstTry();
+  void RecordFirstAttempt();
   /// Consumes one retry. Returns false if the budget is exhausted.
   bool TakeRetry();
 
@@ -143,17 +143,17 @@
                    uint32_t usable);
 
   /// Returns true if `workspace` may take one more connection now.
-  /// `waiting_workspaces` lists the workspaces that have requests waiting.
-  bool MayTake(const std::string& workspace,
-               const std::vector<std::string>& contending) const;
+  /// `contending` lists the workspaces that have requests waiting.
+  bool CanAcquire(const std::string& workspace,
+                  const std::vector<std::string>& contending) const;
 
   /// Same as above in constant time, based on `AddWaiting` and `RemoveWaiting`,
   /// which must be called once for each request that starts or stops waiting.
-  bool MayTake(const std::string& workspace) const;
-  void Want(const std::string& workspace);
-  void Unwant(const std::string& workspace);
+  bool CanAcquire(const std::string& workspace) const;
+  void AddWaiting(const std::string& workspace);
+  void RemoveWaiting(const std::string& workspace);
 
-  void Take(const std::string& workspace);
+  void Acquire(const std::string& workspace);
   void Release(const std::string& workspace);
   uint32_t held(const std::string& workspace) const;
 
--- a/src/include/ryefold/core/admission/usual_demand.h
+++ b/src/include/ryefold/core/admission/usual_demand.h
@@ -16,9 +16,9 @@
 /// refuse the same fraction of each: in a run of 42,300 requests in which one
 /// group of eight had no usable replica, 524 were refused instead of 624. A
 /// short burst is too brief to win a larger share.
-class UsualDemand {
+class DemandEstimator {
  public:
-  void Arrived(TimePoint now, const std::string& workspace);
+  void RecordArrival(TimePoint now, const std::string& workspace);
   /// Returns the weight relative to other workspaces, at least 1.
   uint32_t weight(TimePoint now, const std::string& workspace) const;
 
--- a/src/include/ryefold/core/entry/forwarder.h
+++ b/src/include/ryefold/core/entry/forwarder.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// Forwards a caller's request from an entry to the instance that keeps the
-// group, and handles refusals, failures and timeouts of that instance.
+// Forwards a caller's request from the entry (the instance that received it) to
+// the group's keeper (the instance that runs the group's statements), and
+// handles refusals, failures and timeouts of the keeper.
 
 #include <cstdint>
 #include <functional>
--- a/src/include/ryefold/core/limits/granted_limiter.h
+++ b/src/include/ryefold/core/limits/granted_limiter.h
@@ -112,7 +112,7 @@
   AllowancePort* port_;
   LimitListener* listener_;
   EventSink* events_;
-  admission::ReturnPlan plan_;
+  admission::RetryAfterPlanner plan_;
   ShardTable table_;
   uint64_t config_version_ = 0;
   uint64_t last_call_ = 0;
--- a/src/libcore/admission/queue.cc
+++ b/src/libcore/admission/queue.cc
@@ -38,13 +38,13 @@
   return impl_->Drop(now, reason, drop);
 }
 
-void Queue::SetWorking(TimePoint now, bool working) {
-  impl_->SetWorking(now, working);
+void Queue::SetStatementsRunning(TimePoint now, bool running) {
+  impl_->SetStatementsRunning(now, running);
 }
 
-void Queue::SetRate(double per_second) { impl_->SetRate(per_second); }
+void Queue::SetDrainRate(double per_second) { impl_->SetDrainRate(per_second); }
 
-void Queue::Finished(TimePoint now) { impl_->Finished(now); }
+void Queue::RecordFinished(TimePoint now) { impl_->RecordFinished(now); }
 
 std::chrono::milliseconds Queue::expected_wait(
     TimePoint now, const std::string& workspace) const {
@@ -53,7 +53,9 @@
 
 size_t Queue::size() const { return impl_->size(); }
 
-std::vector<std::string> Queue::waiting() const { return impl_->Waiting(); }
+std::vector<std::string> Queue::waiting_workspaces() const {
+  return impl_->WaitingWorkspaces();
+}
 
 TimePoint Queue::next_deadline() const { return impl_->next_deadline(); }
 
--- a/src/libcore/admission/queue_impl.cc
+++ b/src/libcore/admission/queue_impl.cc
@@ -58,7 +58,7 @@
   Refusal refusal;
   refusal.tag = ticket.tag;
   refusal.reason = reason;
-  refusal.retry_after = retry_after_.Next(
+  refusal.retry_after = retry_after_.NextRetryAfter(
       now, RateForClass(TypicalDrainRate(), now, insertion.priority),
       TicketsAhead(insertion), last_retry_at);
   return refusal;
@@ -212,18 +212,18 @@
   return refused;
 }
 
-void Queue::Impl::SetWorking(TimePoint now, bool working) {
+void Queue::Impl::SetStatementsRunning(TimePoint now, bool running) {
   Advance(now);
-  statements_running_ = working;
+  statements_running_ = running;
 }
 
-void Queue::Impl::Finished(TimePoint now) {
+void Queue::Impl::RecordFinished(TimePoint now) {
   Advance(now);
-  typical_rate_.Finished(now, size() > 0);
-  if (size() > 0) drain_rate_.Finished();
+  typical_rate_.RecordFinished(now, size() > 0);
+  if (size() > 0) drain_rate_.RecordFinished();
 }
 
-std::vector<std::string> Queue::Impl::Waiting() const {
+std::vector<std::string> Queue::Impl::WaitingWorkspaces() const {
   std::set<std::string> names;
   for (const auto& [workspace, queue] : queues_) names.insert(workspace);
   for (const auto& [priority, priority_class] : classes_) {
--- a/src/libcore/admission/queue_impl.h
+++ b/src/libcore/admission/queue_impl.h
@@ -35,12 +35,12 @@
   bool Remove(uint64_t tag);
   std::vector<Refusal> Drop(TimePoint now, Reason reason,
                             const TicketPredicate& drop);
-  void SetWorking(TimePoint now, bool working);
-  void SetRate(double per_second) { external_rate_ = per_second; }
-  void Finished(TimePoint now);
+  void SetStatementsRunning(TimePoint now, bool running);
+  void SetDrainRate(double per_second) { external_rate_ = per_second; }
+  void RecordFinished(TimePoint now);
   std::chrono::milliseconds ExpectedWait(TimePoint now,
                                          const std::string& workspace) const;
-  std::vector<std::string> Waiting() const;
+  std::vector<std::string> WaitingWorkspaces() const;
   size_t size() const { return locations_.size(); }
   TimePoint next_deadline() const {
     return deadlines_.empty() ? TimePoint::max() : deadlines_.begin()->first;
@@ -108,7 +108,7 @@
   /// while nothing is served would get long delays, and the group would be half
   /// idle after its recovery.
   TypicalRate typical_rate_;
-  ReturnPlan retry_after_;
+  RetryAfterPlanner retry_after_;
   TimePoint next_sweep_ = TimePoint::min();
 };
 
--- a/src/libcore/admission/rates.cc
+++ b/src/libcore/admission/rates.cc
@@ -36,7 +36,7 @@
   busy_seconds_ = busy_seconds_ * decay + kDecaySeconds * (1 - decay);
 }
 
-void DrainRate::Finished() {
+void DrainRate::RecordFinished() {
   ++total_finished_;
   finished_ += 1;
 }
@@ -49,7 +49,7 @@
   return std::max(finished_ / busy_seconds_, kMinRatePerSecond);
 }
 
-void TypicalRate::Finished(TimePoint now, bool busy) {
+void TypicalRate::RecordFinished(TimePoint now, bool busy) {
   if (busy && last_finished_at_.has_value()) {
     const double interval =
         std::min(SecondsBetween(*last_finished_at_, now), kMaxIntervalSeconds);
--- a/src/libcore/admission/rates.h
+++ b/src/libcore/admission/rates.h
@@ -18,7 +18,7 @@
   /// in the meantime.
   void Advance(TimePoint now, bool busy);
   /// Records a statement that finished while tickets were queued.
-  void Finished();
+  void RecordFinished();
   /// Returns statements per second; nullopt if there are too few measurements.
   std::optional<double> per_second() const;
 
@@ -37,7 +37,7 @@
 class TypicalRate {
  public:
   /// Records a finished statement; `busy` is true if tickets were queued.
-  void Finished(TimePoint now, bool busy);
+  void RecordFinished(TimePoint now, bool busy);
   std::optional<double> per_second() const;
 
  private:
--- a/src/libcore/admission/retry_budget.cc
+++ b/src/libcore/admission/retry_budget.cc
@@ -4,7 +4,7 @@
 
 namespace ryefold::core::admission {
 
-void RetryBudget::FirstTry() {
+void RetryBudget::RecordFirstAttempt() {
   available_ = std::min(burst_, available_ + ratio_);
 }
 
--- a/src/libcore/admission/return_plan.cc
+++ b/src/libcore/admission/return_plan.cc
@@ -25,13 +25,16 @@
 
 }  // namespace
 
-milliseconds ReturnPlan::RandomBetween(milliseconds low, milliseconds high) {
+milliseconds RetryAfterPlanner::RandomBetween(milliseconds low,
+                                              milliseconds high) {
   std::uniform_int_distribution<int64_t> spread(low.count(), high.count());
   return milliseconds(spread(random_));
 }
 
-milliseconds ReturnPlan::Next(TimePoint now, std::optional<double> rate,
-                              double ahead, TimePoint* last_retry_at) {
+milliseconds RetryAfterPlanner::NextRetryAfter(TimePoint now,
+                                               std::optional<double> rate,
+                                               double ahead,
+                                               TimePoint* last_retry_at) {
   if (!rate.has_value()) return RandomBetween(kUnmeasuredMin, kUnmeasuredMax);
   const TimePoint drained_at = now + ToDuration(ahead / *rate);
   *last_retry_at = std::max(*last_retry_at, drained_at) +
--- a/src/libcore/admission/shares.cc
+++ b/src/libcore/admission/shares.cc
@@ -53,7 +53,7 @@
   return usable_ - total_held_ > reserved;
 }
 
-bool ConnectionShares::MayTake(
+bool ConnectionShares::CanAcquire(
     const std::string& workspace,
     const std::vector<std::string>& contending) const {
   uint32_t reserved = 0;
@@ -65,21 +65,21 @@
 
 // A workspace that has used up its share adds nothing to `reserved_`, so
 // `reserved_` covers only other workspaces.
-bool ConnectionShares::MayTake(const std::string& workspace) const {
+bool ConnectionShares::CanAcquire(const std::string& workspace) const {
   return IsGrantable(FindEntry(workspace), reserved_);
 }
 
-void ConnectionShares::Want(const std::string& workspace) {
+void ConnectionShares::AddWaiting(const std::string& workspace) {
   Update(workspace, [](Entry* entry) { ++entry->waiting_requests; });
 }
 
-void ConnectionShares::Unwant(const std::string& workspace) {
+void ConnectionShares::RemoveWaiting(const std::string& workspace) {
   Update(workspace, [](Entry* entry) {
     if (entry->waiting_requests > 0) --entry->waiting_requests;
   });
 }
 
-void ConnectionShares::Take(const std::string& workspace) {
+void ConnectionShares::Acquire(const std::string& workspace) {
   Update(workspace, [](Entry* entry) { ++entry->held; });
   ++total_held_;
 }
--- a/src/libcore/admission/usual_demand.cc
+++ b/src/libcore/admission/usual_demand.cc
@@ -19,22 +19,23 @@
 
 }  // namespace
 
-double UsualDemand::Decayed(const Count& count, TimePoint now) {
+double DemandEstimator::Decayed(const Count& count, TimePoint now) {
   const double elapsed_seconds =
       std::chrono::duration<double>(now - count.updated_at).count();
   return count.count *
          std::exp(-std::max(elapsed_seconds, 0.0) / kDecaySeconds);
 }
 
-void UsualDemand::Arrived(TimePoint now, const std::string& workspace) {
+void DemandEstimator::RecordArrival(TimePoint now,
+                                    const std::string& workspace) {
   for (Count* count : {&counts_[workspace], &total_}) {
     count->count = Decayed(*count, now) + 1;
     count->updated_at = now;
   }
 }
 
-uint32_t UsualDemand::weight(TimePoint now,
-                             const std::string& workspace) const {
+uint32_t DemandEstimator::weight(TimePoint now,
+                                 const std::string& workspace) const {
   const auto found = counts_.find(workspace);
   const double total = Decayed(total_, now);
   if (found == counts_.end() || total <= 0) {
--- a/src/libcore/entry/forwarder_events.cc
+++ b/src/libcore/entry/forwarder_events.cc
@@ -54,7 +54,7 @@
   Pending* pending = &found->second;
   pending->tag = event.tag;
   pending->request = event.request;
-  budget_.FirstTry();
+  budget_.RecordFirstAttempt();
   if (pending->request.deadline <= now_) {
     GiveUp(pending, Reason::kDeadline);
     return;
--- a/src/libcore/group/keeper.cc
+++ b/src/libcore/group/keeper.cc
@@ -121,7 +121,7 @@
   const RequestTag tag = connection->tag;
   const std::string database = connection->database;
   pool_.MarkAnswered(event.connection);
-  queue_.Finished(now_);
+  queue_.RecordFinished(now_);
   PendingRequest* pending = FindRequest(tag);
   if (pending == nullptr) return;
   OnAnswer(pending, event.connection, event.answer);
--- a/src/libcore/group/keeper_requests.cc
+++ b/src/libcore/group/keeper_requests.cc
@@ -36,7 +36,7 @@
   pending->read.max_age = MaxAgeOf(pending->request, workspaces_);
   deadlines_.emplace(pending->request.deadline, pending->tag);
   if (RefuseOnArrival(*pending)) return;
-  retry_budget_.FirstTry();
+  retry_budget_.RecordFirstAttempt();
   PushToQueue(pending);
 }
 
@@ -168,13 +168,13 @@
   // leave every slot free. If that time counted as work, the measured service
   // rate would drop to almost zero and requests with seconds left would be
   // refused.
-  queue_.SetWorking(now_, IsAnyRunning());
+  queue_.SetStatementsRunning(now_, IsAnyRunning());
 }
 
 void Keeper::Impl::DispatchRunnable() {
   round_needed_for_.reset();
   next_read_check_ = TimePoint::max();
-  waiting_workspaces_ = queue_.waiting();
+  waiting_workspaces_ = queue_.waiting_workspaces();
   const ReadContext context = read_context();
   route_attempts_left_ = kMaxRouteAttemptsPerEvent;
   // Without a free slot, examining all queued requests is useless.
@@ -225,8 +225,8 @@
   if (leadership_.term() < pending->min_term) return false;
   if (!pool_.HasFreeSlot(primary)) return false;
   if (pending->is_begin() && !pool_.CanBeginTransaction(primary)) return false;
-  if (!shares(primary).MayTake(pending->request.workspace,
-                               waiting_workspaces_)) {
+  if (!shares(primary).CanAcquire(pending->request.workspace,
+                                  waiting_workspaces_)) {
     return false;
   }
   const auto idle = pool_.FindIdle(primary);
@@ -252,7 +252,7 @@
   }
   if (route.kind != routing::RouteKind::kServe) return false;
   if (!shares(route.database)
-           .MayTake(pending->request.workspace, waiting_workspaces_)) {
+           .CanAcquire(pending->request.workspace, waiting_workspaces_)) {
     return false;
   }
   const auto idle = pool_.FindIdle(route.database);
@@ -276,7 +276,7 @@
     }
     transactions_.SetRunning(now_, open, true);
   } else {
-    shares(target_).Take(request.workspace);
+    shares(target_).Acquire(request.workspace);
   }
   pending->state = RequestState::kRunning;
   pending->database = target_;
--- a/src/libcore/limits/granted_limiter.cc
+++ b/src/libcore/limits/granted_limiter.cc
@@ -216,7 +216,8 @@
 LimitAnswer GrantedLimiter::Refusal(TimePoint now, Line* line) {
   ++(line->dry > 0 ? line->usage.over_limit : line->usage.unanswered);
   const double rate = std::max(line->workspace->limit->rate, 1.0);
-  return {Verdict::kRefused, plan_.Next(now, rate, 0, &line->promised),
+  return {Verdict::kRefused,
+          plan_.NextRetryAfter(now, rate, 0, &line->promised),
           /*unknown=*/line->dry == 0};
 }
 
--- a/src/libcore/session/proxy_placing.cc
+++ b/src/libcore/session/proxy_placing.cc
@@ -80,7 +80,7 @@
 void Proxy::Impl::RecordDemand(TimePoint now, Group* group,
                                const Request& request) {
   if (request.attempts > 0) return;
-  group->demand.Arrived(now, request.queue_key);
+  group->demand.RecordArrival(now, request.queue_key);
   const Caller& caller = callers_.at(request.caller);
   const workspace::WorkspaceRef workspace = workspaces_.Find(caller.workspace);
   const uint32_t workspace_priority =
@@ -195,8 +195,8 @@
     if (!is_primary && lags_too_far) continue;
     (is_primary ? primary : replicas) += ServiceRate(now, database);
   }
-  group->primary_queue.SetRate(std::max(primary, kMinRatePerSecond));
-  group->read_queue.SetRate(
+  group->primary_queue.SetDrainRate(std::max(primary, kMinRatePerSecond));
+  group->read_queue.SetDrainRate(
       std::max(replicas + primary * kPrimaryReadShare, kMinRatePerSecond));
 }
 
--- a/src/libcore/session/state.h
+++ b/src/libcore/session/state.h
@@ -284,7 +284,7 @@
   admission::Queue read_queue;
   /// Usual demand per queue key, and the time of the next update of queue
   /// weights from it.
-  admission::UsualDemand demand;
+  admission::DemandEstimator demand;
   /// Priority of each queue key seen so far.
   std::map<std::string, uint32_t> queue_priorities;
   TimePoint next_weight_update;
--- a/testsuite/admission_limits/limits_test.cc
+++ b/testsuite/admission_limits/limits_test.cc
@@ -18,28 +18,28 @@
 TEST(ConnectionShares, UnusedSharesAreLent) {
   ConnectionShares shares({Policy("a", 2), Policy("b", 3)}, 5);
   for (int i = 0; i < 5; ++i) {
-    ASSERT_TRUE(shares.MayTake("a", {"a"})) << i;
-    shares.Take("a");
+    ASSERT_TRUE(shares.CanAcquire("a", {"a"})) << i;
+    shares.Acquire("a");
   }
-  EXPECT_FALSE(shares.MayTake("a", {"a"}));
-  EXPECT_FALSE(shares.MayTake("b", {"a", "b"}));
+  EXPECT_FALSE(shares.CanAcquire("a", {"a"}));
+  EXPECT_FALSE(shares.CanAcquire("b", {"a", "b"}));
 }
 
 // One workspace holds all connections and requests each one that is released. A
 // workspace that waits for its share must get the next released connection.
 TEST(ConnectionShares, BorrowedConnectionsReturnToTheirOwner) {
   ConnectionShares shares({Policy("a", 2), Policy("b", 3)}, 5);
-  for (int i = 0; i < 5; ++i) shares.Take("a");
+  for (int i = 0; i < 5; ++i) shares.Acquire("a");
   shares.Release("a");
-  EXPECT_FALSE(shares.MayTake("a", {"a", "b"}));
-  EXPECT_TRUE(shares.MayTake("b", {"a", "b"}));
-  EXPECT_TRUE(shares.MayTake("a", {"a"}));
+  EXPECT_FALSE(shares.CanAcquire("a", {"a", "b"}));
+  EXPECT_TRUE(shares.CanAcquire("b", {"a", "b"}));
+  EXPECT_TRUE(shares.CanAcquire("a", {"a"}));
 }
 
 TEST(ConnectionShares, AWorkspaceWithoutPolicyOnlyBorrows) {
   ConnectionShares shares({Policy("a", 2)}, 2);
-  EXPECT_TRUE(shares.MayTake("stranger", {"stranger"}));
-  EXPECT_FALSE(shares.MayTake("stranger", {"a", "stranger"}));
+  EXPECT_TRUE(shares.CanAcquire("stranger", {"stranger"}));
+  EXPECT_FALSE(shares.CanAcquire("stranger", {"a", "stranger"}));
 }
 
 // Both overloads of CanAcquire agree; the total never exceeds the usable
@@ -65,22 +65,23 @@
     RC_ASSERT(total <= kUsable);
     switch (*rc::gen::inRange(0, 4)) {
       case 0:
-        shares.Want(name);
+        shares.AddWaiting(name);
         ++waiting_requests[name];
         break;
       case 1:
-        shares.Unwant(name);
+        shares.RemoveWaiting(name);
         if (waiting_requests[name] > 0) --waiting_requests[name];
         break;
       case 2:
         shares.Release(name);
         break;
       default:
-        RC_ASSERT(shares.MayTake(name) == shares.MayTake(name, contending));
+        RC_ASSERT(shares.CanAcquire(name) ==
+                  shares.CanAcquire(name, contending));
         if (shares.held(name) < share.at(name)) {
-          RC_ASSERT(shares.MayTake(name) == (total < kUsable));
+          RC_ASSERT(shares.CanAcquire(name) == (total < kUsable));
         }
-        if (shares.MayTake(name)) shares.Take(name);
+        if (shares.CanAcquire(name)) shares.Acquire(name);
     }
   }
 }
@@ -93,7 +94,7 @@
   RetryBudget budget(kRatio, kBurst);
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
-    budget.FirstTry();
+    budget.RecordFirstAttempt();
     while (budget.TakeRetry()) ++retries;
   }
   EXPECT_LE(retries, 1000 * kRatio + kBurst);
@@ -102,7 +103,7 @@
 
 TEST(RetryBudget, SavesNoMoreThanTheBurst) {
   RetryBudget budget(1, 3);
-  for (int i = 0; i < 100; ++i) budget.FirstTry();
+  for (int i = 0; i < 100; ++i) budget.RecordFirstAttempt();
   int retries = 0;
   while (budget.TakeRetry()) ++retries;
   EXPECT_EQ(retries, 3);
--- a/testsuite/admission_overload/overload_test.cc
+++ b/testsuite/admission_overload/overload_test.cc
@@ -9,14 +9,14 @@
 
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
+using testing_support::DoubleLoad;
 using testing_support::Load;
 using testing_support::LoadOf;
-using testing_support::Overload;
+using testing_support::OverloadSimulation;
 using testing_support::Percentile;
+using testing_support::RetryStorm;
 using testing_support::Scenario;
-using testing_support::Storm;
 using testing_support::Tally;
-using testing_support::TwiceTheLoad;
 
 double Fraction(uint64_t part, uint64_t whole) {
   return static_cast<double>(part) / static_cast<double>(whole);
@@ -25,9 +25,9 @@
 // The load is twice the capacity. The latency of the highest class must stay
 // close to its latency without other load.
 TEST(TwiceTheLoadTest, TheHighestClassIsServedAsIfAlone) {
-  Overload alone(TwiceTheLoad(false));
+  OverloadSimulation alone(DoubleLoad(false));
   alone.Run();
-  Overload overloaded(TwiceTheLoad(true));
+  OverloadSimulation overloaded(DoubleLoad(true));
   overloaded.Run();
   const Tally& gold = overloaded.tally("gold");
   EXPECT_EQ(gold.refused, 0U);
@@ -40,7 +40,7 @@
 // on arrival and not run; accepted ones must be answered in time, so that no
 // work is wasted.
 TEST(TwiceTheLoadTest, LowerClassesAreRefusedEarlyAndServedInTime) {
-  Overload overloaded(TwiceTheLoad(true));
+  OverloadSimulation overloaded(DoubleLoad(true));
   overloaded.Run();
   EXPECT_EQ(overloaded.refused_and_run(), 0U);
   const Tally& silver = overloaded.tally("silver");
@@ -55,8 +55,8 @@
 }
 
 TEST(TwiceTheLoadTest, NoCapacityIsLost) {
-  const Scenario scenario = TwiceTheLoad(true);
-  Overload overloaded(scenario);
+  const Scenario scenario = DoubleLoad(true);
+  OverloadSimulation overloaded(scenario);
   overloaded.Run();
   const auto done = static_cast<double>(
       overloaded.in_time(milliseconds(2000), scenario.length));
@@ -70,7 +70,7 @@
   Scenario scenario;
   scenario.loads.push_back(LoadOf(scenario, "one", 1, 1, 1.0));
   scenario.loads.push_back(LoadOf(scenario, "three", 1, 3, 1.0));
-  Overload overloaded(scenario);
+  OverloadSimulation overloaded(scenario);
   overloaded.Run();
   const uint64_t one = overloaded.tally("one").served;
   const uint64_t three = overloaded.tally("three").served;
@@ -81,8 +81,8 @@
 // callers retried together, they would be refused together, and the group would
 // appear down long after its recovery.
 TEST(StormTest, ReturningCallersDoNotKeepTheGroupDown) {
-  const Scenario scenario = Storm();
-  Overload storm(scenario);
+  const Scenario scenario = RetryStorm();
+  OverloadSimulation storm(scenario);
   storm.Run();
   EXPECT_EQ(storm.refused_and_run(), 0U);
   const milliseconds up = scenario.stall_until;
@@ -117,15 +117,15 @@
   ConnectionShares shares({owner, borrower}, kUsable);
   std::multimap<int, std::string> ends;
   const auto take = [&](const std::string& name, int now) {
-    while (shares.MayTake(name)) {
-      shares.Take(name);
+    while (shares.CanAcquire(name)) {
+      shares.Acquire(name);
       ends.emplace(now + kStatementMs - static_cast<int>(ends.size()), name);
     }
   };
-  shares.Want("borrower");
+  shares.AddWaiting("borrower");
   take("borrower", 0);
   EXPECT_EQ(shares.held("borrower"), kUsable);
-  shares.Want("owner");
+  shares.AddWaiting("owner");
   for (int now = 1; now <= kStatementMs; ++now) {
     while (!ends.empty() && ends.begin()->first <= now) {
       shares.Release(ends.begin()->second);
--- a/testsuite/admission_overload/usual_demand_test.cc
+++ b/testsuite/admission_overload/usual_demand_test.cc
@@ -15,7 +15,7 @@
 
 using std::chrono::milliseconds;
 using testing_support::LoadOf;
-using testing_support::Overload;
+using testing_support::OverloadSimulation;
 using testing_support::Scenario;
 using testing_support::Tally;
 
@@ -27,15 +27,15 @@
 }
 
 /// Records arrivals at these rates from `from` to `until`.
-void RecordArrivals(UsualDemand* demand, milliseconds from, milliseconds until,
-                    double many, double few) {
+void RecordArrivals(DemandEstimator* demand, milliseconds from,
+                    milliseconds until, double many, double few) {
   for (milliseconds at = from; at < until; at += milliseconds(1)) {
     const auto due = [at](double rate) {
       const auto interval_ms = static_cast<int64_t>(1000 / rate);
       return at.count() % interval_ms == 0;
     };
-    if (due(many)) demand->Arrived(At(at), "many");
-    if (due(few)) demand->Arrived(At(at), "few");
+    if (due(many)) demand->RecordArrival(At(at), "many");
+    if (due(few)) demand->RecordArrival(At(at), "few");
   }
 }
 
@@ -50,7 +50,7 @@
   Scenario scenario;
   scenario.loads.push_back(LoadOf(scenario, "many", 1, many, 1.25));
   scenario.loads.push_back(LoadOf(scenario, "few", 1, few, 0.25));
-  Overload overloaded(scenario);
+  OverloadSimulation overloaded(scenario);
   overloaded.Run();
   return {ServedFraction(overloaded.tally("many")),
           ServedFraction(overloaded.tally("few"))};
@@ -63,7 +63,7 @@
   EXPECT_LT(many_before, 0.62);
   EXPECT_GT(few_before, 0.99);
 
-  UsualDemand demand;
+  DemandEstimator demand;
   RecordArrivals(&demand, milliseconds(0), milliseconds(60000), kManyPerSecond,
                  kFewPerSecond);
   const TimePoint now = At(milliseconds(60000));
@@ -77,7 +77,7 @@
 // gain a larger share, or a faulty caller would cause refusals for the other
 // workspace.
 TEST(UsualDemandTest, AFloodWinsNoLargerShare) {
-  UsualDemand demand;
+  DemandEstimator demand;
   RecordArrivals(&demand, milliseconds(0), milliseconds(60000), kManyPerSecond,
                  kFewPerSecond);
   const uint32_t before = demand.weight(At(milliseconds(60000)), "many");
@@ -90,7 +90,7 @@
 // A new workspace has no recorded demand. It must still get a share, or all its
 // first requests would be refused while the group is short of capacity.
 TEST(UsualDemandTest, ANewWorkspaceHasAShare) {
-  UsualDemand demand;
+  DemandEstimator demand;
   RecordArrivals(&demand, milliseconds(0), milliseconds(60000), kManyPerSecond,
                  kFewPerSecond);
   const TimePoint now = At(milliseconds(60000));
--- a/testsuite/admission_queue/queue_test.cc
+++ b/testsuite/admission_queue/queue_test.cc
@@ -46,7 +46,7 @@
   queue->Push(At(now), TicketOf(1000000, "gold", now, now + 1000000));
   for (int i = 0; i < 200; ++i) {
     now += interval_ms;
-    queue->Finished(At(now));
+    queue->RecordFinished(At(now));
   }
   queue->Remove(1000000);
   return now;
@@ -116,7 +116,7 @@
         RC_ASSERT(other.deadline > At(now));
       }
     } else if (*rc::gen::arbitrary<bool>()) {
-      queue.Finished(At(now));
+      queue.RecordFinished(At(now));
     } else {
       const uint64_t some = *rc::gen::inRange<uint64_t>(0, tag + 1);
       RC_ASSERT(queue.Remove(some) == (model.waiting.erase(some) == 1));
@@ -217,7 +217,7 @@
     now += 60000;
     queue.Push(At(now), TicketOf(++tag, "gold", now, now + 100));
     queue.Pop(At(now), Always);
-    queue.Finished(At(now + 1));
+    queue.RecordFinished(At(now + 1));
   }
   for (int i = 0; i < 100; ++i) {
     EXPECT_TRUE(
@@ -230,7 +230,7 @@
 // would be refused under overload.
 TEST(Queue, StatementsThatNeverWaitedAreNotMeasured) {
   Queue queue({Policy("gold", 0)}, 10000);
-  for (int64_t ms = 0; ms < 10000; ++ms) queue.Finished(At(ms));
+  for (int64_t ms = 0; ms < 10000; ++ms) queue.RecordFinished(At(ms));
   const int64_t now = MeasureDrainRate(&queue, 10000, 10);
   for (uint64_t tag = 1; tag <= 100; ++tag) {
     queue.Push(At(now), TicketOf(tag, "gold", now, now + 60000));
@@ -247,7 +247,7 @@
   Queue queue({Policy("gold", 0)}, 10000);
   uint64_t tag = 1;
   for (int64_t ms = 0; ms < 5000; ++ms) {
-    queue.SetWorking(At(ms), false);
+    queue.SetStatementsRunning(At(ms), false);
     for (int i = 0; i < 8; ++i) {
       const auto refused =
           queue.Push(At(ms), TicketOf(tag++, "gold", ms, ms + 1000));
@@ -257,8 +257,8 @@
     const TimePoint confirmed = At(ms) + std::chrono::microseconds(500);
     while (queue.Pop(confirmed, [](const Ticket&) { return true; })) {
     }
-    queue.SetWorking(confirmed, true);
-    for (int i = 0; i < 8; ++i) queue.Finished(confirmed);
+    queue.SetStatementsRunning(confirmed, true);
+    for (int i = 0; i < 8; ++i) queue.RecordFinished(confirmed);
   }
 }
 
@@ -274,7 +274,7 @@
     queue.Pop(At(now), Always);
     queue.Push(At(now), TicketOf(++tag, "bronze", now, now + 60000));
     now += 10;
-    queue.Finished(At(now));
+    queue.RecordFinished(At(now));
   }
   EXPECT_LT(queue.expected_wait(At(now), "gold"), milliseconds(50));
   EXPECT_GT(queue.expected_wait(At(now), "bronze"), milliseconds(1500));
@@ -395,7 +395,7 @@
   queue.Push(At(0), TicketOf(1, "gold", 0, 1000));
   queue.Push(At(0), TicketOf(2, "gold", 0, 500));
   EXPECT_EQ(queue.next_deadline(), At(500));
-  EXPECT_EQ(queue.waiting(), std::vector<std::string>{"gold"});
+  EXPECT_EQ(queue.waiting_workspaces(), std::vector<std::string>{"gold"});
 }
 
 // After a short standstill, a queue that measures its own rate assumes a rate
@@ -405,7 +405,7 @@
 TEST(Queue, AcceptsCallersAfterAStandstillWithAnExternalRate) {
   Queue measured(Mixed(), 100);
   Queue external(Mixed(), 100);
-  external.SetRate(100);
+  external.SetDrainRate(100);
   for (Queue* queue : {&measured, &external}) {
     for (uint64_t tag = 0; tag < 5; ++tag) {
       queue->Push(At(0), TicketOf(tag, "gold", 0, 400));
--- a/testsuite/group_bounds/bounds_test.cc
+++ b/testsuite/group_bounds/bounds_test.cc
@@ -23,9 +23,9 @@
 constexpr milliseconds kNoBound{60000};
 constexpr GapBound kGapBounds[] = {
     {"killed", Loss::kKilled, milliseconds(1200), milliseconds(2500)},
-    {"cut off", Loss::kCutOff, milliseconds(1200), milliseconds(2500)},
+    {"cut off", Loss::kCutFromPeers, milliseconds(1200), milliseconds(2500)},
     {"frozen", Loss::kFrozen, kNoBound, milliseconds(4000)},
-    {"silent", Loss::kSilent, kNoBound, milliseconds(4000)},
+    {"silent", Loss::kUnreachable, kNoBound, milliseconds(4000)},
     {"killed with keeper", Loss::kKilledWithKeeper, kNoBound,
      milliseconds(4000)},
     {"frozen with keeper", Loss::kFrozenWithKeeper, kNoBound,
@@ -40,8 +40,8 @@
     EXPECT_LE(figures.median, bound.median) << bound.name;
     EXPECT_LE(figures.worst, bound.worst) << bound.name;
     EXPECT_EQ(figures.promotions, kTrials) << bound.name;
-    EXPECT_TRUE(figures.wrong.empty())
-        << bound.name << ": " << figures.wrong.front();
+    EXPECT_TRUE(figures.errors.empty())
+        << bound.name << ": " << figures.errors.front();
   }
 }
 
@@ -55,7 +55,7 @@
   const FailoverFigures figures =
       MeasureLoss(shape, Loss::kPlanned, kTrials, kSeed);
   EXPECT_LE(figures.worst, milliseconds(300));
-  EXPECT_TRUE(figures.wrong.empty()) << figures.wrong.front();
+  EXPECT_TRUE(figures.errors.empty()) << figures.errors.front();
 }
 
 // A promotion in a healthy group causes a gap without need.
@@ -80,7 +80,7 @@
       load.rate = rate;
       ShareTrial trial(shape, load, kSeed);
       const ShareFigures figures = trial.Run(std::chrono::seconds(10));
-      EXPECT_GE(figures.reached(), 0.9) << rate;
+      EXPECT_GE(figures.share_of_bound(), 0.9) << rate;
       EXPECT_EQ(figures.unanswered, 0u) << rate;
     }
   }
--- a/testsuite/group_drain/drain_test.cc
+++ b/testsuite/group_drain/drain_test.cc
@@ -27,7 +27,7 @@
   request.transaction = transaction;
   const auto tag = group.Send(0, request);
   group.time().RunFor(milliseconds(20));
-  return *group.asked(tag).answer;
+  return *group.sent(tag).answer;
 }
 
 // The platform lists a replica as leaving. A statement sent to it afterwards
@@ -38,12 +38,12 @@
   group->Policy("b");
   const TimePoint marked = group->time().now();
   SendLoad(*group, seconds(1));
-  EXPECT_LE((*group)["b"].statements_at(),
+  EXPECT_LE((*group)["b"].last_statement_at(),
             marked + group->shape().network.one_way);
-  EXPECT_EQ(Promotions(*group), 0u);
+  EXPECT_EQ(CountPromotions(*group), 0u);
   group->time().RunFor(seconds(2));
   EXPECT_EQ((*group)["b"].connections(), 0u);
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
 // The primary leaves under load: writes are held while the most advanced
@@ -57,16 +57,16 @@
   const TimePoint marked = group->time().now();
   SendLoad(*group, seconds(1));
   group->time().RunFor(seconds(3));
-  EXPECT_LE((*group)["a"].statements_at(),
+  EXPECT_LE((*group)["a"].last_statement_at(),
             marked + group->shape().network.one_way);
   EXPECT_NE(group->primary()->name(), "a");
   EXPECT_EQ((*group)["a"].connections(), 0u);
-  for (const auto& [tag, asked] : group->asked()) {
-    ASSERT_TRUE(asked.answer.has_value());
-    EXPECT_EQ(asked.answer->kind(), OutcomeKind::kDone)
-        << asked.request.request_id;
+  for (const auto& [tag, sent] : group->sent()) {
+    ASSERT_TRUE(sent.answer.has_value());
+    EXPECT_EQ(sent.answer->kind(), OutcomeKind::kDone)
+        << sent.request.request_id;
   }
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
 // A transaction open on the leaving primary may finish within a short bound,
@@ -82,7 +82,7 @@
   EXPECT_EQ(commit.kind(), OutcomeKind::kDone);
   group->time().RunFor(milliseconds(100));
   EXPECT_NE(group->primary()->name(), "a");
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
 // The caller of an open transaction sends nothing. The change of primary does
@@ -96,7 +96,7 @@
   EXPECT_NE(group->primary()->name(), "a");
   const auto commit = RunStep(*group, core::Step::kCommit, begin.transaction());
   EXPECT_EQ(commit.kind(), OutcomeKind::kNotRun);
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
 // A keeper steps down with an open transaction, whose commit then has to be
--- a/testsuite/group_keeper/healthy_test.cc
+++ b/testsuite/group_keeper/healthy_test.cc
@@ -16,17 +16,17 @@
   group.time().RunFor(seconds(1));
   const auto write = group.Send(0, group.Write(milliseconds(500)));
   group.time().RunFor(milliseconds(100));
-  ASSERT_TRUE(group.asked(write).answer.has_value());
-  const core::StatementAnswer& done = *group.asked(write).answer;
+  ASSERT_TRUE(group.sent(write).answer.has_value());
+  const core::StatementAnswer& done = *group.sent(write).answer;
   ASSERT_EQ(done.kind(), OutcomeKind::kDone);
   EXPECT_EQ(done.seen().term, 1u);
 
   const auto read =
-      group.Send(0, group.Read(group.asked(write).request.sql,
-                               milliseconds(500), done.seen(), seconds(5)));
+      group.Send(0, group.Read(group.sent(write).request.sql, milliseconds(500),
+                               done.seen(), seconds(5)));
   group.time().RunFor(milliseconds(100));
-  ASSERT_TRUE(group.asked(read).answer.has_value());
-  const core::StatementAnswer& seen = *group.asked(read).answer;
+  ASSERT_TRUE(group.sent(read).answer.has_value());
+  const core::StatementAnswer& seen = *group.sent(read).answer;
   EXPECT_EQ(seen.kind(), OutcomeKind::kDone);
   EXPECT_TRUE(seen.result_json().ends_with(" yes"));
   EXPECT_TRUE(seen.from_replica());
@@ -41,9 +41,9 @@
   const auto read =
       group.Send(0, group.Read("x", milliseconds(500), {}, milliseconds(0)));
   group.time().RunFor(milliseconds(20));
-  ASSERT_TRUE(group.asked(read).answer.has_value());
-  EXPECT_EQ(group.asked(read).answer->kind(), OutcomeKind::kDone);
-  EXPECT_TRUE(group.asked(read).answer->from_replica());
+  ASSERT_TRUE(group.sent(read).answer.has_value());
+  EXPECT_EQ(group.sent(read).answer->kind(), OutcomeKind::kDone);
+  EXPECT_TRUE(group.sent(read).answer->from_replica());
 }
 
 TEST(HealthyGroup, ATransactionOwnsItsConnectionUntilItsEnd) {
@@ -56,9 +56,9 @@
     request.transaction = transaction;
     const auto tag = group.Send(0, request);
     group.time().RunFor(milliseconds(20));
-    return group.asked(tag);
+    return group.sent(tag);
   };
-  const Asked begin = step(core::Step::kBegin, "");
+  const SentRequest begin = step(core::Step::kBegin, "");
   ASSERT_EQ(begin.answer->kind(), OutcomeKind::kDone);
   const std::string id = begin.answer->transaction();
   ASSERT_FALSE(id.empty());
@@ -66,7 +66,7 @@
   EXPECT_EQ(step(core::Step::kStatement, id).answer->kind(),
             OutcomeKind::kDone);
   EXPECT_EQ(step(core::Step::kCommit, id).answer->kind(), OutcomeKind::kDone);
-  const Asked after = step(core::Step::kStatement, id);
+  const SentRequest after = step(core::Step::kStatement, id);
   EXPECT_EQ(after.answer->kind(), OutcomeKind::kNotRun);
   EXPECT_EQ(after.answer->reason(), core::Reason::kUnknownTransaction);
 }
@@ -79,9 +79,9 @@
   group.keeper(0).Feed(core::group::StepDown{});
   const auto late = group.Send(0, group.Write(milliseconds(500)));
   group.time().RunFor(milliseconds(100));
-  EXPECT_EQ(group.asked(write).answer->kind(), OutcomeKind::kDone);
-  EXPECT_EQ(group.asked(late).answer->reason(), core::Reason::kShuttingDown);
-  EXPECT_EQ(group.asked(late).answered_at, group.asked(late).at);
+  EXPECT_EQ(group.sent(write).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(group.sent(late).answer->reason(), core::Reason::kShuttingDown);
+  EXPECT_EQ(group.sent(late).answered_at, group.sent(late).at);
   EXPECT_TRUE(group.keeper(0).idle());
   EXPECT_EQ(group["a"].connections(), 0u);
   const uint64_t calls = group.keeper(0).control_calls;
--- a/testsuite/group_outcomes/at_most_once_test.cc
+++ b/testsuite/group_outcomes/at_most_once_test.cc
@@ -23,9 +23,9 @@
   group->keeper(0).network().lose_answer = 0;
   group->time().RunFor(milliseconds(300));
   EXPECT_EQ(group->keeper(0).executes, before + 1);
-  ASSERT_TRUE(group->asked(write).answer.has_value());
-  EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kDone);
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  ASSERT_TRUE(group->sent(write).answer.has_value());
+  EXPECT_EQ(group->sent(write).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
 // A keeper freezes with a write in its queue. The caller asks another keeper,
@@ -37,17 +37,17 @@
   group->time().RunFor(seconds(1));
   group->FreezeKeeper(0);
   const auto write = group->Send(0, group->Write(seconds(10)));
-  const std::string id = group->asked(write).request.request_id;
+  const std::string id = group->sent(write).request.request_id;
   group->time().RunFor(seconds(1));
   const auto settle = group->Settle(1, id, seconds(1));
   group->time().RunFor(milliseconds(100));
-  ASSERT_TRUE(group->asked(settle).answer.has_value());
-  EXPECT_EQ(group->asked(settle).answer->reason(), Reason::kFenced);
+  ASSERT_TRUE(group->sent(settle).answer.has_value());
+  EXPECT_EQ(group->sent(settle).answer->reason(), Reason::kFenced);
   group->keeper(0).Thaw();
   group->time().RunFor(seconds(1));
-  ASSERT_TRUE(group->asked(write).answer.has_value());
-  EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kNotRun);
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  ASSERT_TRUE(group->sent(write).answer.has_value());
+  EXPECT_EQ(group->sent(write).answer->kind(), OutcomeKind::kNotRun);
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
 // The caller repeats a request through another keeper while the first attempt
@@ -60,11 +60,11 @@
   const auto first = group->Send(0, request);
   const auto second = group->Send(1, request, {}, /*repeat=*/true);
   group->time().RunFor(milliseconds(100));
-  EXPECT_EQ(group->asked(first).answer->kind(), OutcomeKind::kDone);
-  EXPECT_EQ(group->asked(second).answer->kind(), OutcomeKind::kDone);
-  EXPECT_EQ(group->asked(first).answer->seen(),
-            group->asked(second).answer->seen());
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  EXPECT_EQ(group->sent(first).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(group->sent(second).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(group->sent(first).answer->seen(),
+            group->sent(second).answer->seen());
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
 // A keeper that reaches only the partitioned primary runs a write there, which
@@ -83,12 +83,12 @@
   group->time().RunFor(seconds(3));
   const auto second = group->Send(1, request, {}, /*repeat=*/true);
   group->time().RunFor(milliseconds(100));
-  ASSERT_TRUE(group->asked(second).answer.has_value());
-  EXPECT_EQ(group->asked(second).answer->kind(), OutcomeKind::kDone);
-  EXPECT_FALSE(group->asked(first).answer.has_value());
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
-  ASSERT_TRUE(group->asked(first).answer.has_value());
-  EXPECT_EQ(group->asked(first).answer->kind(), OutcomeKind::kDone);
+  ASSERT_TRUE(group->sent(second).answer.has_value());
+  EXPECT_EQ(group->sent(second).answer->kind(), OutcomeKind::kDone);
+  EXPECT_FALSE(group->sent(first).answer.has_value());
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
+  ASSERT_TRUE(group->sent(first).answer.has_value());
+  EXPECT_EQ(group->sent(first).answer->kind(), OutcomeKind::kDone);
 }
 
 // A statement runs past its caller's deadline. Its answer must not reach the
@@ -99,15 +99,15 @@
   const uint64_t opened = group->keeper(0).opens;
   const auto slow = group->Send(0, group->Write(milliseconds(100)));
   group->time().RunFor(milliseconds(150));
-  ASSERT_TRUE(group->asked(slow).answer.has_value());
-  EXPECT_EQ(group->asked(slow).answer->kind(), OutcomeKind::kUnknown);
+  ASSERT_TRUE(group->sent(slow).answer.has_value());
+  EXPECT_EQ(group->sent(slow).answer->kind(), OutcomeKind::kUnknown);
   (*group)["a"].stall = Duration{0};
   const auto next = group->Send(0, group->Write(seconds(1)));
   group->time().RunFor(milliseconds(500));
-  EXPECT_EQ(group->asked(next).answer->result_json(),
-            group->asked(next).request.request_id);
+  EXPECT_EQ(group->sent(next).answer->result_json(),
+            group->sent(next).request.request_id);
   EXPECT_EQ(group->keeper(0).opens, opened + 1);
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
 // The primary is replaced while a transaction is open on it, and the commit is
@@ -124,14 +124,14 @@
                         [](const core::ControlAnswer& /*answer*/) {});
   request = group->Write(seconds(1));
   request.step = core::Step::kCommit;
-  request.transaction = group->asked(begin).answer->transaction();
+  request.transaction = group->sent(begin).answer->transaction();
   const auto commit = group->Send(0, request);
   group->time().RunFor(milliseconds(20));
-  ASSERT_TRUE(group->asked(commit).answer.has_value());
-  EXPECT_EQ(group->asked(commit).answer->kind(), OutcomeKind::kNotRun);
-  EXPECT_EQ(group->asked(commit).answer->reason(), Reason::kTransactionLost);
+  ASSERT_TRUE(group->sent(commit).answer.has_value());
+  EXPECT_EQ(group->sent(commit).answer->kind(), OutcomeKind::kNotRun);
+  EXPECT_EQ(group->sent(commit).answer->reason(), Reason::kTransactionLost);
   EXPECT_EQ((*group)["a"].connections(), connections - 1);
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
 // A session read an unacknowledged write on the primary, which a promotion then
@@ -147,8 +147,8 @@
   const auto read =
       group->Send(0, group->Read("x", seconds(1), seen, seconds(5)));
   group->time().RunFor(milliseconds(50));
-  ASSERT_TRUE(group->asked(read).answer.has_value());
-  EXPECT_EQ(group->asked(read).answer->kind(), OutcomeKind::kDone);
+  ASSERT_TRUE(group->sent(read).answer.has_value());
+  EXPECT_EQ(group->sent(read).answer->kind(), OutcomeKind::kDone);
 }
 
 // One keeper reaches only the old primary while another has promoted a replica.
@@ -164,13 +164,13 @@
   group->time().RunFor(seconds(3));
   const auto write = group->Send(1, group->Write(seconds(1)));
   group->time().RunFor(milliseconds(100));
-  ASSERT_EQ(group->asked(write).answer->kind(), OutcomeKind::kDone);
+  ASSERT_EQ(group->sent(write).answer->kind(), OutcomeKind::kDone);
   const auto read =
-      group->Send(0, group->Read(group->asked(write).request.sql, seconds(1),
-                                 {}, milliseconds(0)));
+      group->Send(0, group->Read(group->sent(write).request.sql, seconds(1), {},
+                                 milliseconds(0)));
   group->time().RunFor(seconds(2));
-  ASSERT_TRUE(group->asked(read).answer.has_value());
-  EXPECT_EQ(group->asked(read).answer->kind(), OutcomeKind::kNotRun);
+  ASSERT_TRUE(group->sent(read).answer.has_value());
+  EXPECT_EQ(group->sent(read).answer->kind(), OutcomeKind::kNotRun);
 }
 
 // One replica lags by seconds. Reads go to the other one without delay.
@@ -181,14 +181,14 @@
   for (int i = 0; i < 50; ++i) {
     const auto write = group->Send(0, group->Write(seconds(1)));
     group->time().RunFor(milliseconds(20));
-    ASSERT_EQ(group->asked(write).answer->kind(), OutcomeKind::kDone);
+    ASSERT_EQ(group->sent(write).answer->kind(), OutcomeKind::kDone);
     const auto read = group->Send(
-        0, group->Read(group->asked(write).request.sql, seconds(1),
-                       group->asked(write).answer->seen(), seconds(5)));
+        0, group->Read(group->sent(write).request.sql, seconds(1),
+                       group->sent(write).answer->seen(), seconds(5)));
     group->time().RunFor(milliseconds(20));
-    ASSERT_TRUE(group->asked(read).answer.has_value());
-    EXPECT_TRUE(group->asked(read).answer->result_json().ends_with(" yes"));
-    EXPECT_EQ(group->asked(read).answer->database(), "c");
+    ASSERT_TRUE(group->sent(read).answer.has_value());
+    EXPECT_TRUE(group->sent(read).answer->result_json().ends_with(" yes"));
+    EXPECT_EQ(group->sent(read).answer->database(), "c");
   }
   EXPECT_EQ(group->keeper(0).executes, before + 100);
 }
--- a/testsuite/group_outcomes/second_failure_test.cc
+++ b/testsuite/group_outcomes/second_failure_test.cc
@@ -36,13 +36,13 @@
   group->time().RunFor(milliseconds(1500));
   ASSERT_EQ(group->primary()->name(), "b");
   ASSERT_EQ((*group)["c"].log().last().term, 1u);
-  EXPECT_FALSE(group->asked(write).answer.has_value());
+  EXPECT_FALSE(group->sent(write).answer.has_value());
   KillNewPrimaryAndRestoreOld(*group);
   group->time().RunFor(seconds(5));
   EXPECT_EQ(group->primary()->name(), "a");
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
-  ASSERT_TRUE(group->asked(write).answer.has_value());
-  EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
+  ASSERT_TRUE(group->sent(write).answer.has_value());
+  EXPECT_EQ(group->sent(write).answer->kind(), OutcomeKind::kDone);
 }
 
 // The new primary runs a write whose answer is lost, and its record shows the
@@ -59,13 +59,13 @@
   group->time().RunFor(milliseconds(5));
   group->keeper(0).network().lose_answer = 0;
   group->time().RunFor(milliseconds(200));
-  ASSERT_TRUE((*group)["b"].log().Contains(group->asked(write).request.sql));
-  EXPECT_FALSE(group->asked(write).answer.has_value());
+  ASSERT_TRUE((*group)["b"].log().Contains(group->sent(write).request.sql));
+  EXPECT_FALSE(group->sent(write).answer.has_value());
   KillNewPrimaryAndRestoreOld(*group);
   group->time().RunFor(seconds(5));
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
-  ASSERT_TRUE(group->asked(write).answer.has_value());
-  EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kNotRun);
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
+  ASSERT_TRUE(group->sent(write).answer.has_value());
+  EXPECT_EQ(group->sent(write).answer->kind(), OutcomeKind::kNotRun);
 }
 
 // The old primary dies with a write whose answer never arrived. The new primary
@@ -78,19 +78,19 @@
   group->keeper(0).network().lose_answer = 1;
   const auto write = group->Send(0, group->Write(seconds(20)));
   group->time().RunFor(std::chrono::microseconds(1100));
-  ASSERT_TRUE((*group)["a"].log().Contains(group->asked(write).request.sql));
+  ASSERT_TRUE((*group)["a"].log().Contains(group->sent(write).request.sql));
   group->Kill("a");
   group->keeper(0).network().lose_answer = 0;
   group->time().RunFor(milliseconds(500));
   ASSERT_EQ(group->primary()->name(), "b");
   EXPECT_EQ((*group)["b"].log().entries().back().kind, EntryKind::kFence);
-  EXPECT_FALSE(group->asked(write).answer.has_value());
+  EXPECT_FALSE(group->sent(write).answer.has_value());
   KillNewPrimaryAndRestoreOld(*group);
   group->time().RunFor(seconds(5));
   EXPECT_EQ(group->primary()->name(), "a");
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
-  ASSERT_TRUE(group->asked(write).answer.has_value());
-  EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
+  ASSERT_TRUE(group->sent(write).answer.has_value());
+  EXPECT_EQ(group->sent(write).answer->kind(), OutcomeKind::kDone);
 }
 
 // Another keeper has fenced the id, but only the primary holds the fence and
@@ -110,10 +110,10 @@
   const auto write = group->Send(0, request);
   group->time().RunFor(milliseconds(300));
   EXPECT_FALSE((*group)["b"].log().Contains(request.sql));
-  EXPECT_FALSE(group->asked(write).answer.has_value());
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
-  ASSERT_TRUE(group->asked(write).answer.has_value());
-  EXPECT_EQ(group->asked(write).answer->reason(), Reason::kFenced);
+  EXPECT_FALSE(group->sent(write).answer.has_value());
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
+  ASSERT_TRUE(group->sent(write).answer.has_value());
+  EXPECT_EQ(group->sent(write).answer->reason(), Reason::kFenced);
 }
 
 }  // namespace
--- a/testsuite/group_outcomes/slow_replicas_test.cc
+++ b/testsuite/group_outcomes/slow_replicas_test.cc
@@ -31,8 +31,8 @@
   }
   group->time().RunFor(seconds(1));
   for (const uint64_t write : writes) {
-    ASSERT_TRUE(group->asked(write).answer.has_value());
-    EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kDone);
+    ASSERT_TRUE(group->sent(write).answer.has_value());
+    EXPECT_EQ(group->sent(write).answer->kind(), OutcomeKind::kDone);
   }
 }
 
@@ -45,16 +45,16 @@
   const auto first = group->Send(0, group->Write(milliseconds(300)));
   group->time().RunFor(milliseconds(200));
   const auto next = group->Send(0, group->Write(milliseconds(150)));
-  ASSERT_TRUE(group->asked(next).answer.has_value());
-  EXPECT_EQ(group->asked(next).answer->kind(), OutcomeKind::kNotRun);
-  EXPECT_EQ(group->asked(next).answer->reason(), Reason::kConfirmationSlow);
+  ASSERT_TRUE(group->sent(next).answer.has_value());
+  EXPECT_EQ(group->sent(next).answer->kind(), OutcomeKind::kNotRun);
+  EXPECT_EQ(group->sent(next).answer->reason(), Reason::kConfirmationSlow);
   group->time().RunFor(milliseconds(110));
-  ASSERT_TRUE(group->asked(first).answer.has_value());
-  EXPECT_EQ(group->asked(first).answer->kind(), OutcomeKind::kUnknown);
-  EXPECT_EQ(group->asked(first).answer->reason(), Reason::kConfirmationSlow);
-  EXPECT_LE(group->asked(first).answered_at,
-            group->asked(first).request.deadline);
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  ASSERT_TRUE(group->sent(first).answer.has_value());
+  EXPECT_EQ(group->sent(first).answer->kind(), OutcomeKind::kUnknown);
+  EXPECT_EQ(group->sent(first).answer->reason(), Reason::kConfirmationSlow);
+  EXPECT_LE(group->sent(first).answered_at,
+            group->sent(first).request.deadline);
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
 // A replica dies with a read in flight. Another one can answer it.
@@ -64,9 +64,9 @@
       group->Send(0, group->Read("x", seconds(1), {}, seconds(5)));
   group->Kill("b");
   group->time().RunFor(milliseconds(50));
-  ASSERT_TRUE(group->asked(read).answer.has_value());
-  EXPECT_EQ(group->asked(read).answer->kind(), OutcomeKind::kDone);
-  EXPECT_EQ(group->asked(read).answer->database(), "c");
+  ASSERT_TRUE(group->sent(read).answer.has_value());
+  EXPECT_EQ(group->sent(read).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(group->sent(read).answer->database(), "c");
 }
 
 }  // namespace
--- a/testsuite/group_promotion/promotion_test.cc
+++ b/testsuite/group_promotion/promotion_test.cc
@@ -21,13 +21,13 @@
   // Must not be sent twice: the new primary fences its id.
   const auto once = group->Send(0, group->Write(seconds(2)));
   group->time().RunFor(milliseconds(100));
-  ASSERT_TRUE(group->asked(write).answer.has_value());
-  EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kDone);
-  EXPECT_EQ(group->asked(write).answer->seen().term, 2u);
-  ASSERT_TRUE(group->asked(once).answer.has_value());
-  EXPECT_EQ(group->asked(once).answer->kind(), OutcomeKind::kNotRun);
-  EXPECT_EQ(group->asked(once).answer->reason(), Reason::kFenced);
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  ASSERT_TRUE(group->sent(write).answer.has_value());
+  EXPECT_EQ(group->sent(write).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(group->sent(write).answer->seen().term, 2u);
+  ASSERT_TRUE(group->sent(once).answer.has_value());
+  EXPECT_EQ(group->sent(once).answer->kind(), OutcomeKind::kNotRun);
+  EXPECT_EQ(group->sent(once).answer->reason(), Reason::kFenced);
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
 // A partition separates the primary from its replicas, but it still accepts
@@ -39,16 +39,16 @@
   const auto write = group->Send(0, group->Write(seconds(5)));
   group->time().RunFor(milliseconds(500));
   EXPECT_GE((*group)["a"].log().last().index, 2u);
-  EXPECT_FALSE(group->asked(write).answer.has_value());
+  EXPECT_FALSE(group->sent(write).answer.has_value());
   group->time().RunFor(seconds(3));
-  ASSERT_TRUE(group->asked(write).answer.has_value());
+  ASSERT_TRUE(group->sent(write).answer.has_value());
   // The entry was in the old primary's log only, so it is discarded and fenced.
-  EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kNotRun);
-  EXPECT_EQ(group->asked(write).answer->reason(), Reason::kDiscarded);
+  EXPECT_EQ(group->sent(write).answer->kind(), OutcomeKind::kNotRun);
+  EXPECT_EQ(group->sent(write).answer->reason(), Reason::kDiscarded);
   const auto next = group->Send(0, group->Write(seconds(1)));
   group->time().RunFor(milliseconds(100));
-  EXPECT_EQ(group->asked(next).answer->kind(), OutcomeKind::kDone);
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  EXPECT_EQ(group->sent(next).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
 // With two of three databases lost, no promotion is possible. Callers are
@@ -59,10 +59,10 @@
   group->Kill("c");
   group->time().RunFor(seconds(1));
   const auto write = group->Send(0, group->Write(seconds(30)));
-  ASSERT_TRUE(group->asked(write).answer.has_value());
-  EXPECT_EQ(group->asked(write).answered_at, group->asked(write).at);
-  EXPECT_EQ(group->asked(write).answer->reason(), Reason::kNoPrimary);
-  EXPECT_GT(group->asked(write).answer->retry_after(), milliseconds(0));
+  ASSERT_TRUE(group->sent(write).answer.has_value());
+  EXPECT_EQ(group->sent(write).answered_at, group->sent(write).at);
+  EXPECT_EQ(group->sent(write).answer->reason(), Reason::kNoPrimary);
+  EXPECT_GT(group->sent(write).answer->retry_after(), milliseconds(0));
 }
 
 // The primary dies and its replacement takes long over a slow network. A
@@ -76,18 +76,17 @@
   group->time().RunFor(milliseconds(40));
   const auto waiting = group->Send(0, group->Write(milliseconds(200), true));
   group->time().RunFor(milliseconds(30));
-  ASSERT_TRUE(group->asked(waiting).answer.has_value());
-  EXPECT_EQ(group->asked(waiting).answer->reason(), Reason::kNoPrimary);
+  ASSERT_TRUE(group->sent(waiting).answer.has_value());
+  EXPECT_EQ(group->sent(waiting).answer->reason(), Reason::kNoPrimary);
   const auto short_deadline = group->Send(0, group->Write(milliseconds(100)));
-  EXPECT_EQ(group->asked(short_deadline).answered_at,
-            group->asked(short_deadline).at);
-  ASSERT_TRUE(group->asked(short_deadline).answer.has_value());
-  EXPECT_EQ(group->asked(short_deadline).answer->reason(), Reason::kNoPrimary);
-  EXPECT_GT(group->asked(short_deadline).answer->retry_after(),
-            milliseconds(0));
+  EXPECT_EQ(group->sent(short_deadline).answered_at,
+            group->sent(short_deadline).at);
+  ASSERT_TRUE(group->sent(short_deadline).answer.has_value());
+  EXPECT_EQ(group->sent(short_deadline).answer->reason(), Reason::kNoPrimary);
+  EXPECT_GT(group->sent(short_deadline).answer->retry_after(), milliseconds(0));
   const auto long_deadline = group->Send(0, group->Write(seconds(3)));
   group->time().RunFor(seconds(3));
-  EXPECT_EQ(group->asked(long_deadline).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(group->sent(long_deadline).answer->kind(), OutcomeKind::kDone);
 }
 
 // Statements hang for three seconds behind a lock on a healthy database. A
@@ -100,7 +99,7 @@
     group->time().RunFor(milliseconds(100));
   }
   group->time().RunFor(seconds(4));
-  EXPECT_EQ(Promotions(*group), 0u);
+  EXPECT_EQ(CountPromotions(*group), 0u);
 }
 
 // Each packet to and from the primary is delayed by 500 ms in an idle group,
@@ -116,7 +115,7 @@
   }
   group->keeper(0).extra_delay.clear();
   group->time().RunFor(seconds(5));
-  EXPECT_EQ(Promotions(*group), 0u);
+  EXPECT_EQ(CountPromotions(*group), 0u);
 }
 
 // A keeper freezes during a promotion and another one completes it. The first
@@ -136,15 +135,15 @@
     group->time().RunFor(seconds(3));
     const auto before = group->Send(1, group->Write(seconds(1)));
     group->time().RunFor(milliseconds(200));
-    ASSERT_EQ(group->asked(before).answer->kind(), OutcomeKind::kDone)
+    ASSERT_EQ(group->sent(before).answer->kind(), OutcomeKind::kDone)
         << pause_us;
     group->keeper(0).Thaw();
     group->time().RunFor(milliseconds(1000));
     const auto after = group->Send(0, group->Write(seconds(2)));
     group->time().RunFor(seconds(2));
-    EXPECT_EQ(group->asked(after).answer->kind(), OutcomeKind::kDone)
+    EXPECT_EQ(group->sent(after).answer->kind(), OutcomeKind::kDone)
         << pause_us;
-    EXPECT_EQ(Text(group->HealAndCheck()), "") << pause_us;
+    EXPECT_EQ(JoinLines(group->HealAndCheck()), "") << pause_us;
   }
 }
 
@@ -159,9 +158,9 @@
     const auto first = group.Send(0, group.Write(seconds(3), true));
     const auto second = group.Send(1, group.Write(seconds(3), true));
     group.time().RunFor(seconds(3));
-    EXPECT_EQ(group.asked(first).answer->kind(), OutcomeKind::kDone) << seed;
-    EXPECT_EQ(group.asked(second).answer->kind(), OutcomeKind::kDone) << seed;
-    EXPECT_EQ(Text(group.HealAndCheck()), "") << seed;
+    EXPECT_EQ(group.sent(first).answer->kind(), OutcomeKind::kDone) << seed;
+    EXPECT_EQ(group.sent(second).answer->kind(), OutcomeKind::kDone) << seed;
+    EXPECT_EQ(JoinLines(group.HealAndCheck()), "") << seed;
   }
 }
 
@@ -178,10 +177,10 @@
     const int next = group->AddKeeper();
     const auto write = group->Send(next, group->Write(seconds(4)));
     group->time().RunFor(seconds(4));
-    ASSERT_TRUE(group->asked(write).answer.has_value()) << after_us;
-    EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kDone)
+    ASSERT_TRUE(group->sent(write).answer.has_value()) << after_us;
+    EXPECT_EQ(group->sent(write).answer->kind(), OutcomeKind::kDone)
         << after_us;
-    EXPECT_EQ(Text(group->HealAndCheck()), "") << after_us;
+    EXPECT_EQ(JoinLines(group->HealAndCheck()), "") << after_us;
   }
 }
 
--- a/testsuite/group_random/random_test.cc
+++ b/testsuite/group_random/random_test.cc
@@ -45,9 +45,9 @@
       count, rc::gen::resize(100, rc::gen::arbitrary<Fault>()));
   const bool wide = *rc::gen::arbitrary<bool>();
   RandomRun run(wide ? Zendmast() : Tamworth(), seed);
-  const std::vector<std::string> wrong = run.Run(faults);
-  for (const std::string& text : wrong) RC_LOG(text);
-  RC_ASSERT(wrong.empty());
+  const std::vector<std::string> errors = run.Run(faults);
+  for (const std::string& text : errors) RC_LOG(text);
+  RC_ASSERT(errors.empty());
 }
 
 }  // namespace
--- a/testsuite/support/admission/overload.h
+++ b/testsuite/support/admission/overload.h
@@ -71,9 +71,9 @@
 }
 
 /// Discrete event simulation; deterministic for a given scenario.
-class Overload {
+class OverloadSimulation {
  public:
-  explicit Overload(const Scenario& scenario)
+  explicit OverloadSimulation(const Scenario& scenario)
       : scenario_(scenario),
         queue_(Policies(scenario), scenario.queue_limit, scenario.seed),
         random_(scenario.seed),
@@ -203,7 +203,7 @@
 
   void Finish(uint64_t tag, microseconds started) {
     ++free_slots_;
-    queue_.Finished(Now());
+    queue_.RecordFinished(Now());
     const Waiting waiting = waiting_.at(tag);
     Tally& tally = tallies_[waiting.load->policy.workspace];
     ++tally.served;
@@ -245,7 +245,7 @@
 
 /// Returns the highest class at half of the capacity, alone or with other
 /// classes that bring the total load to twice the capacity.
-inline Scenario TwiceTheLoad(bool crowded) {
+inline Scenario DoubleLoad(bool crowded) {
   Scenario scenario;
   scenario.loads.push_back(LoadOf(scenario, "gold", 0, 1, 0.5));
   if (!crowded) return scenario;
@@ -257,7 +257,7 @@
 
 /// Returns a load of half the capacity with a stall of three seconds, as when a
 /// primary is lost; refused callers retry until they are served.
-inline Scenario Storm() {
+inline Scenario RetryStorm() {
   Scenario scenario;
   scenario.length = milliseconds(40000);
   scenario.loads.push_back(LoadOf(scenario, "gold", 0, 1, 0.1));
--- a/testsuite/support/group/checks.h
+++ b/testsuite/support/group/checks.h
@@ -20,14 +20,14 @@
 }
 
 /// Returns the findings of `HealAndCheck`, one per line.
-inline std::string Text(const std::vector<std::string>& errors) {
+inline std::string JoinLines(const std::vector<std::string>& errors) {
   std::string text;
   for (const std::string& line : errors) text += line + "\n";
   return text;
 }
 
 /// Returns the number of promote calls of all keepers.
-inline uint64_t Promotions(FakeGroup& group) {
+inline uint64_t CountPromotions(FakeGroup& group) {
   uint64_t count = 0;
   for (size_t i = 0; i < group.keepers(); ++i) {
     for (const auto& [name, calls] :
--- a/testsuite/support/group/failover_trial.h
+++ b/testsuite/support/group/failover_trial.h
@@ -12,11 +12,11 @@
 
 enum class Loss {
   kKilled,
-  kCutOff,  ///< No connection to its peers; still accepts connections of
-            ///< keepers.
+  kCutFromPeers,  ///< No connection to its peers; still accepts connections of
+                  ///< keepers.
   kFrozen,
-  kSilent,  ///< No connection to any peer or keeper: neither answers nor
-            ///< resets.
+  kUnreachable,  ///< No connection to any peer or keeper: neither answers nor
+                 ///< resets.
   kKilledWithKeeper,
   kFrozenWithKeeper,
   kPlanned,
@@ -25,7 +25,7 @@
 struct FailoverResult {
   Duration gap{0};
   uint64_t promotions = 0;
-  std::vector<std::string> wrong;
+  std::vector<std::string> errors;
 };
 
 /// A successor sends heartbeats to the keeper once a second with a timeout of
@@ -56,7 +56,7 @@
     InjectLoss(loss);
     group_.time().RunFor(std::chrono::seconds(8));
     FailoverResult result = Finish();
-    result.wrong = group_.HealAndCheck();
+    result.errors = group_.HealAndCheck();
     return result;
   }
 
@@ -92,13 +92,13 @@
       case Loss::kKilled:
         group_.Kill("a");
         return;
-      case Loss::kCutOff:
+      case Loss::kCutFromPeers:
         group_["a"].peers_cut = true;
         return;
       case Loss::kFrozen:
         group_["a"].frozen = true;
         return;
-      case Loss::kSilent:
+      case Loss::kUnreachable:
         group_["a"].peers_cut = true;
         group_.keeper(0).cut.insert("a");
         return;
@@ -156,7 +156,7 @@
   Duration worst{0};
   uint64_t promotions = 0;
   size_t trials = 0;
-  std::vector<std::string> wrong;
+  std::vector<std::string> errors;
 };
 
 inline FailoverFigures MeasureLoss(const GroupShape& shape, Loss loss,
@@ -168,8 +168,9 @@
     const FailoverResult result = trial.Run(loss);
     gaps.push_back(result.gap);
     figures.promotions += result.promotions;
-    for (const std::string& text : result.wrong) {
-      figures.wrong.push_back("seed " + std::to_string(seed + i) + ": " + text);
+    for (const std::string& text : result.errors) {
+      figures.errors.push_back("seed " + std::to_string(seed + i) + ": " +
+                               text);
     }
   }
   std::sort(gaps.begin(), gaps.end());
--- a/testsuite/support/group/fake_database.h
+++ b/testsuite/support/group/fake_database.h
@@ -141,7 +141,7 @@
   uint64_t adopted_term() const { return adopted_term_; }
   DatabaseShape& shape() { return shape_; }
   /// Arrival time of the last statement.
-  TimePoint statements_at() const { return last_statement_at_; }
+  TimePoint last_statement_at() const { return last_statement_at_; }
 
  private:
   struct Connection {
--- a/testsuite/support/group/fake_group.h
+++ b/testsuite/support/group/fake_group.h
@@ -55,7 +55,7 @@
 }
 
 /// One request as seen by its caller.
-struct Asked {
+struct SentRequest {
   core::StatementRequest request;
   TimePoint at;
   std::optional<core::StatementAnswer> answer;
@@ -102,26 +102,26 @@
   uint64_t Send(int keeper, const core::StatementRequest& request,
                 Then then = {}, bool repeat = false) {
     const uint64_t tag = next_tag_++;
-    Asked& asked = asked_[tag];
-    asked.request = request;
-    asked.at = queue_.now();
-    asked.keeper = keeper;
-    asked.repeat = repeat;
+    SentRequest& sent = sent_[tag];
+    sent.request = request;
+    sent.at = queue_.now();
+    sent.keeper = keeper;
+    sent.repeat = repeat;
     then_[tag] = std::move(then);
     hosts_[keeper]->Feed(core::group::RequestArrived{tag, request});
     return tag;
   }
   uint64_t Settle(int keeper, const std::string& id, milliseconds within) {
     const uint64_t tag = next_tag_++;
-    Asked& asked = asked_[tag];
-    asked.repeat = true;
-    asked.request.request_id = id;
-    asked.request.kind = core::StatementKind::kWrite;
-    asked.request.sql = id;
-    asked.request.deadline = queue_.now() + within;
-    asked.at = queue_.now();
-    asked.keeper = keeper;
-    core::SettleRequest settle{id, "passports", "gate", asked.request.deadline};
+    SentRequest& sent = sent_[tag];
+    sent.repeat = true;
+    sent.request.request_id = id;
+    sent.request.kind = core::StatementKind::kWrite;
+    sent.request.sql = id;
+    sent.request.deadline = queue_.now() + within;
+    sent.at = queue_.now();
+    sent.keeper = keeper;
+    core::SettleRequest settle{id, "passports", "gate", sent.request.deadline};
     hosts_[keeper]->Feed(core::group::SettleArrived{tag, settle});
     return tag;
   }
@@ -168,8 +168,8 @@
   KeeperHost& keeper(int number) { return *hosts_.at(number); }
   size_t keepers() const { return hosts_.size(); }
   EventQueue& time() { return queue_; }
-  const std::map<uint64_t, Asked>& asked() const { return asked_; }
-  const Asked& asked(uint64_t tag) const { return asked_.at(tag); }
+  const std::map<uint64_t, SentRequest>& sent() const { return sent_; }
+  const SentRequest& sent(uint64_t tag) const { return sent_.at(tag); }
   std::mt19937_64& random() { return random_; }
   GroupShape& shape() { return shape_; }
   std::map<std::string, std::unique_ptr<FakeDatabase>>& databases() {
@@ -226,23 +226,23 @@
                          " differs from that of the primary after recovery");
       }
     }
-    for (const auto& [tag, asked] : asked_) CheckOne(*final, asked, &errors);
+    for (const auto& [tag, sent] : sent_) CheckOne(*final, sent, &errors);
     for (std::string& text : answer_errors_) errors.push_back(std::move(text));
     return errors;
   }
 
  private:
-  void CheckOne(const FakeDatabase& final, const Asked& asked,
+  void CheckOne(const FakeDatabase& final, const SentRequest& sent,
                 std::vector<std::string>* errors) {
-    const core::StatementRequest& request = asked.request;
+    const core::StatementRequest& request = sent.request;
     const std::string& id = request.request_id;
-    const bool keeper_dead = !hosts_[asked.keeper]->alive();
-    if (asked.answers > 1) errors->push_back(id + " was answered twice");
-    if (!asked.answer) {
+    const bool keeper_dead = !hosts_[sent.keeper]->alive();
+    if (sent.answers > 1) errors->push_back(id + " was answered twice");
+    if (!sent.answer) {
       if (!keeper_dead) errors->push_back(id + " was never answered");
       return;
     }
-    const core::StatementAnswer& answer = *asked.answer;
+    const core::StatementAnswer& answer = *sent.answer;
     const bool write = request.kind == core::StatementKind::kWrite &&
                        request.step == core::Step::kStatement &&
                        request.transaction.empty();
@@ -258,7 +258,7 @@
     // attempt; a fence covers the id.
     const bool fenced = answer.reason() == core::Reason::kFenced ||
                         answer.reason() == core::Reason::kDiscarded;
-    const bool speaks_for_id = fenced || !asked.repeat;
+    const bool speaks_for_id = fenced || !sent.repeat;
     if (answer.kind() == core::OutcomeKind::kNotRun && speaks_for_id &&
         count != 0) {
       errors->push_back(id + " was answered not run but written");
@@ -266,13 +266,13 @@
   }
 
   void RecordAnswer(uint64_t tag, const core::StatementAnswer& answer) {
-    Asked& asked = asked_.at(tag);
-    ++asked.answers;
-    asked.answer = answer;
-    asked.answered_at = queue_.now();
-    const std::string& id = asked.request.request_id;
-    if (queue_.now() > asked.request.deadline && !hosts_.empty() &&
-        !frozen_keepers_.contains(asked.keeper)) {
+    SentRequest& sent = sent_.at(tag);
+    ++sent.answers;
+    sent.answer = answer;
+    sent.answered_at = queue_.now();
+    const std::string& id = sent.request.request_id;
+    if (queue_.now() > sent.request.deadline && !hosts_.empty() &&
+        !frozen_keepers_.contains(sent.keeper)) {
       answer_errors_.push_back(id + " was answered after its deadline");
     }
     if (answer.kind() == core::OutcomeKind::kDone &&
@@ -301,7 +301,7 @@
   EventQueue queue_;
   std::map<std::string, std::unique_ptr<FakeDatabase>> databases_;
   std::vector<std::unique_ptr<KeeperHost>> hosts_;
-  std::map<uint64_t, Asked> asked_;
+  std::map<uint64_t, SentRequest> sent_;
   std::map<uint64_t, Then> then_;
   std::set<int> frozen_keepers_;
   std::vector<std::string> answer_errors_;
--- a/testsuite/support/group/share_trial.h
+++ b/testsuite/support/group/share_trial.h
@@ -30,7 +30,7 @@
   double share() const { return Ratio(by_replica, reads); }
   double bound() const { return Ratio(allowed, reads); }
   /// Returns the fraction of the upper bound that was reached.
-  double reached() const { return Ratio(by_replica, allowed); }
+  double share_of_bound() const { return Ratio(by_replica, allowed); }
 
  private:
   static double Ratio(uint64_t factor, uint64_t whole) {
