--- a/src/libcore/admission/usual_demand.cc
+++ b/src/libcore/admission/usual_demand.cc
@@ -7,39 +7,42 @@
 namespace ryefold::core::admission {
 namespace {
 
-/// Time in which a count fades to a third. Longer than a burst of some seconds
-/// and than the pauses between callers of a small workspace, short enough to
-/// follow the day.
-constexpr double kFadeSeconds = 30;
-/// Weights are told in parts of this many of all that arrives.
-constexpr double kParts = 100;
-/// Least part of a workspace, in `kParts`: one that has just come is not known
-/// yet, and must not be refused everything for it.
-constexpr double kLeastPart = 5;
+/// Decay time constant. Longer than bursts of a few seconds and than the pauses
+/// between requests of a small workspace, short enough to follow changes over a
+/// day.
+constexpr double kDecaySeconds = 30;
+/// Weights are fractions of all arrivals in units of 1/kWeightScale.
+constexpr double kWeightScale = 100;
+/// Minimum weight. Without it all requests of a new workspace, whose demand is
+/// not measured yet, would be refused.
+constexpr double kMinWeight = 5;
 
 }  // namespace
 
-double UsualDemand::Faded(const Count& count, TimePoint now) {
-  const double passed = std::chrono::duration<double>(now - count.at).count();
-  return count.count * std::exp(-std::max(passed, 0.0) / kFadeSeconds);
+double DemandEstimator::Decayed(const Count& count, TimePoint now) {
+  const double elapsed_seconds =
+      std::chrono::duration<double>(now - count.updated_at).count();
+  return count.count *
+         std::exp(-std::max(elapsed_seconds, 0.0) / kDecaySeconds);
 }
 
-void UsualDemand::Arrived(TimePoint now, const std::string& workspace) {
-  for (Count* count : {&counts_[workspace], &all_}) {
-    count->count = Faded(*count, now) + 1;
-    count->at = now;
+void DemandEstimator::RecordArrival(TimePoint now,
+                                    const std::string& workspace) {
+  for (Count* count : {&counts_[workspace], &total_}) {
+    count->count = Decayed(*count, now) + 1;
+    count->updated_at = now;
   }
 }
 
-uint32_t UsualDemand::weight(TimePoint now,
-                             const std::string& workspace) const {
+uint32_t DemandEstimator::weight(TimePoint now,
+                                 const std::string& workspace) const {
   const auto found = counts_.find(workspace);
-  const double all = Faded(all_, now);
-  if (found == counts_.end() || all <= 0) {
-    return static_cast<uint32_t>(kLeastPart);
+  const double total = Decayed(total_, now);
+  if (found == counts_.end() || total <= 0) {
+    return static_cast<uint32_t>(kMinWeight);
   }
-  const double part = Faded(found->second, now) / all * kParts;
-  return static_cast<uint32_t>(std::max(std::round(part), kLeastPart));
+  const double part = Decayed(found->second, now) / total * kWeightScale;
+  return static_cast<uint32_t>(std::max(std::round(part), kMinWeight));
 }
 
 }  // namespace ryefold::core::admission
--- a/src/libcore/entry/backoff.h
+++ b/src/libcore/entry/backoff.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Pauses before retries and times to come back, both with jitter.
+// Backoff before retries and retry delays for callers, both with jitter.
 
 #include <algorithm>
 #include <chrono>
@@ -9,29 +9,31 @@
 
 namespace ryefold::core::entry {
 
-/// Doubles the pause with each round. The jitter keeps requests that failed
+/// Doubles the delay on each round. The jitter keeps requests that failed
 /// together from being retried together.
 class Backoff {
  public:
   Backoff(std::chrono::milliseconds first, uint64_t seed)
       : first_(first), random_(seed) {}
 
-  /// Pause before the retry of this round, from 0.
-  std::chrono::milliseconds Pause(uint32_t round) {
-    return Spread(first_ * (1 << std::min(round, kMostDoublings)));
+  /// Returns the delay before the retry of this round, from 0.
+  std::chrono::milliseconds Delay(uint32_t round) {
+    return Jitter(first_ * (1 << std::min(round, kMaxDoublings)));
   }
 
-  /// What a caller is told that is given up here.
-  std::chrono::milliseconds RetryAfter() { return Spread(first_ * kReturn); }
+  /// Returns the retry delay for the caller of a request that is given up.
+  std::chrono::milliseconds RetryAfter() {
+    return Jitter(first_ * kRetryAfterFactor);
+  }
 
  private:
-  static constexpr uint32_t kMostDoublings = 5;
-  static constexpr int kReturn = 10;
+  static constexpr uint32_t kMaxDoublings = 5;
+  static constexpr int kRetryAfterFactor = 10;
 
-  std::chrono::milliseconds Spread(std::chrono::milliseconds middle) {
+  std::chrono::milliseconds Jitter(std::chrono::milliseconds middle) {
     const int64_t half = std::max<int64_t>(middle.count() / 2, 1);
-    std::uniform_int_distribution<int64_t> spread(half, 3 * half);
-    return std::chrono::milliseconds(spread(random_));
+    std::uniform_int_distribution<int64_t> distribution(half, 3 * half);
+    return std::chrono::milliseconds(distribution(random_));
   }
 
   std::chrono::milliseconds first_;
--- a/src/libcore/entry/forwarder_impl.h
+++ b/src/libcore/entry/forwarder_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// State behind `Forwarder`.
+// Implementation of `Forwarder`.
 
 #include <chrono>
 #include <cstdint>
@@ -18,40 +18,41 @@
 
 namespace ryefold::core::entry {
 
-/// What is being done about a request.
+/// Processing phase of a request.
 enum class Phase : uint8_t {
-  kForwarding,  ///< Getting it to an instance that serves it.
-  kSettling,    ///< Finding out what became of it; it is not sent again.
+  kForwarding,  ///< The request is being sent to an instance that serves it.
+  kSettling,  ///< The outcome is being settled; the request is not sent again.
 };
 
-/// One request from its arrival to its answer.
+/// One request in progress.
 struct Pending {
   RequestTag tag = 0;
   StatementRequest request;
   Phase phase = Phase::kForwarding;
-  /// Forwarded copies that are not answered yet.
-  std::set<CallId> open;
-  /// A copy may have arrived and nobody will tell what became of it.
-  bool lost = false;
-  /// Settle calls that are not answered yet.
-  std::set<CallId> settles;
-  /// The call looked at for silence: the last copy, or the last settle call.
-  CallId watched = 0;
-  /// Instances tried since the ranking was last walked from its start.
+  /// Forwarded copies without an answer.
+  std::set<CallId> unanswered_copies;
+  /// True if a copy may have arrived and its outcome will not be reported.
+  bool outcome_lost = false;
+  /// Settle calls without an answer.
+  std::set<CallId> settle_calls;
+  /// Call monitored for timeouts: the last copy, or the last settle call.
+  CallId watched_call = 0;
+  /// Instances tried since the last start from the top of the ranking.
   std::vector<std::string> tried;
-  uint32_t rounds = 0;
-  /// Copies that were lost with the instance that held them.
-  uint32_t losses = 0;
-  /// When to send or settle again; the far future when not planned.
+  uint32_t retry_rounds = 0;
+  /// Number of copies lost because their instance failed.
+  uint32_t lost_copies = 0;
+  /// Time of the next retry; `TimePoint::max()` if none is scheduled.
   TimePoint retry_at = TimePoint::max();
-  /// When this request has to be looked at.
+  /// Time of the next check of this request.
   TimePoint due = TimePoint::max();
 
   bool in_transaction() const { return !request.transaction.empty(); }
-  bool commits() const { return request.step == Step::kCommit; }
-  /// Whether no copy of it can have run, nor can any still do so.
-  bool surely_not_run() const {
-    return phase == Phase::kForwarding && open.empty() && !lost;
+  bool is_commit() const { return request.step == Step::kCommit; }
+  /// Returns true if no copy has run or can still run.
+  bool is_certainly_not_run() const {
+    return phase == Phase::kForwarding && unanswered_copies.empty() &&
+           !outcome_lost;
   }
 };
 
@@ -68,7 +69,7 @@
     RequestTag tag = 0;
     std::string instance;
     TimePoint sent;
-    bool settles = false;
+    bool is_settle = false;
   };
 
   void On(const RequestArrived& event);
@@ -82,23 +83,23 @@
   void SendNext(Pending* pending);
   std::optional<std::string> NextTarget(Pending* pending) const;
   void Send(Pending* pending, const std::string& instance);
-  void EndOfWalk(Pending* pending);
-  bool PlanRetry(Pending* pending);
-  void RetryLater(Pending* pending, Reason reason);
+  void RestartRanking(Pending* pending);
+  bool ScheduleRetry(Pending* pending);
+  void RetryOrGiveUp(Pending* pending, Reason reason);
   void BeginSettling(Pending* pending);
 
   // Answers and failures.
-  void ForwardAnswered(Pending* pending, const StatementAnswer& answer,
+  void OnForwardAnswer(Pending* pending, const StatementAnswer& answer,
                        bool latest);
-  void SettleAnswered(Pending* pending, const StatementAnswer& answer,
+  void OnSettleAnswer(Pending* pending, const StatementAnswer& answer,
                       bool latest);
-  void NeverArrived(Pending* pending);
-  void MayBeLost(Pending* pending);
-  void FellSilent(Pending* pending);
-  void FindOut(Pending* pending);
+  void OnCopyNotDelivered(Pending* pending);
+  void OnCopyLost(Pending* pending);
+  void OnKeeperUnreachable(Pending* pending);
+  void ResolveOutcome(Pending* pending);
 
-  // Time.
-  void LookAt(Pending* pending);
+  // Timers.
+  void ProcessDue(Pending* pending);
   void Reschedule(Pending* pending);
 
   // Final answers.
@@ -107,19 +108,19 @@
   void GiveUp(Pending* pending, Reason reason);
   void Remove(Pending* pending);
 
-  bool StillWaits(Pending* pending, const Call& call);
-  void Heard(const std::string& instance);
-  void Failed(const std::string& instance);
+  bool ContinueWaiting(Pending* pending, const Call& call);
+  void RecordAnswer(const std::string& instance);
+  void RecordFailure(const std::string& instance);
 
   Ranking ranking_;
-  Hearing hearing_;
+  PeerHealth health_;
   Backoff backoff_;
   admission::RetryBudget budget_;
   std::unordered_map<RequestTag, Pending> requests_;
   std::unordered_map<CallId, Call> calls_;
   std::set<std::pair<TimePoint, RequestTag>> due_;
   CallId next_call_ = 1;
-  /// Of the event being handled.
+  /// Time of the event being handled.
   TimePoint now_;
   std::vector<Action>* actions_ = nullptr;
 };
--- a/src/libcore/entry/hearing.cc
+++ b/src/libcore/entry/hearing.cc
@@ -5,57 +5,60 @@
 namespace ryefold::core::entry {
 namespace {
 
-/// Records kept at most. Instances come and go all day; forgetting one only
-/// means that its next call is judged by itself.
+/// Maximum number of records. Instances are replaced all the time; a call to an
+/// instance without a record is judged by its own send time only.
 constexpr size_t kMaxRecords = 4096;
 
 }  // namespace
 
-bool Hearing::Heard(TimePoint now, const std::string& instance) {
+bool PeerHealth::OnAnswer(TimePoint now, const std::string& instance) {
   if (records_.size() >= kMaxRecords) records_.clear();
   Record& record = records_[instance];
-  record.heard = std::max(record.heard, now);
+  record.last_contact = std::max(record.last_contact, now);
   const bool suspected = record.suspected;
   record.suspected = false;
   return suspected;
 }
 
-bool Hearing::Failed(TimePoint now, const std::string& instance) {
+bool PeerHealth::OnFailure(TimePoint now, const std::string& instance) {
   if (records_.size() >= kMaxRecords) records_.clear();
   Record& record = records_[instance];
-  if (record.suspected && now < record.tell_again_at) return false;
+  if (record.suspected && now < record.next_report_at) return false;
   record.suspected = true;
-  record.tell_again_at = now + patience_;
+  record.next_report_at = now + contact_timeout_;
   return true;
 }
 
-TimePoint Hearing::SilentAt(const Record* record, TimePoint sent) const {
-  if (record == nullptr) return sent + patience_;
-  return std::max(sent, record->heard) + patience_;
+TimePoint PeerHealth::TimeoutAt(const Record* record, TimePoint sent) const {
+  if (record == nullptr) return sent + contact_timeout_;
+  return std::max(sent, record->last_contact) + contact_timeout_;
 }
 
-Hearing::Verdict Hearing::Judge(TimePoint now, const std::string& instance,
-                                TimePoint sent) {
-  // A statement that runs for seconds on a quiet entry leaves nothing to hear,
-  // although its keeper is well. Doubted for that alone, the keeper's waiting
-  // writes were fenced and its callers told "not run". A probe is answered by
-  // the keeper's own task whatever its statements do; a frozen one is silent.
+PeerHealth::CallState PeerHealth::Evaluate(TimePoint now,
+                                           const std::string& instance,
+                                           TimePoint sent) {
+  // A long statement on an otherwise idle entry causes no other answers,
+  // although its keeper is healthy. If the keeper were suspected for that
+  // alone, its queued writes would be fenced and answered "not run". The
+  // keeper's own task answers probes while statements run; a frozen keeper does
+  // not answer them.
   Record& record = records_[instance];
-  const TimePoint silent_at = SilentAt(&record, sent);
-  if (now < silent_at) return Verdict::kWait;
-  if (record.probe_until < silent_at) {
-    record.probe_until = now + probe_patience_;
-    return Verdict::kProbe;
+  const TimePoint timeout_at = TimeoutAt(&record, sent);
+  if (now < timeout_at) return CallState::kWait;
+  if (record.probe_deadline < timeout_at) {
+    record.probe_deadline = now + probe_timeout_;
+    return CallState::kProbe;
   }
-  return now < record.probe_until ? Verdict::kWait : Verdict::kDoubt;
+  return now < record.probe_deadline ? CallState::kWait : CallState::kSuspected;
 }
 
-TimePoint Hearing::JudgeAt(const std::string& instance, TimePoint sent) const {
+TimePoint PeerHealth::NextEvaluation(const std::string& instance,
+                                     TimePoint sent) const {
   const auto found = records_.find(instance);
   const Record* record = found == records_.end() ? nullptr : &found->second;
-  const TimePoint silent_at = SilentAt(record, sent);
-  if (record == nullptr) return silent_at;
-  return std::max(silent_at, record->probe_until);
+  const TimePoint timeout_at = TimeoutAt(record, sent);
+  if (record == nullptr) return timeout_at;
+  return std::max(timeout_at, record->probe_deadline);
 }
 
 }  // namespace ryefold::core::entry
--- a/src/libcore/entry/hearing.h
+++ b/src/libcore/entry/hearing.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Which instances have been heard of lately, and which are suspected.
+// Failure detector of an entry: last contact and suspicion per instance.
 
 #include <chrono>
 #include <cstdint>
@@ -11,44 +11,46 @@
 
 namespace ryefold::core::entry {
 
-/// Silence is judged by all that an instance answers, not by one request: a
-/// statement that waits its turn or runs long says nothing about the instance
-/// as long as that goes on answering others. Judged one by one, a full queue
-/// would look like a dead keeper, and each waiting request would be doubled.
-class Hearing {
+/// Judges an instance by all its answers, not by a single request: a statement
+/// that is queued or runs long does not indicate a failure while the instance
+/// answers other calls. Judged per request, a long queue would look like a
+/// failed keeper, and each queued request would be sent twice.
+class PeerHealth {
  public:
-  Hearing(std::chrono::milliseconds patience,
-          std::chrono::milliseconds probe_patience)
-      : patience_(patience), probe_patience_(probe_patience) {}
-
-  /// The instance answered; true when it had been suspected.
-  bool Heard(TimePoint now, const std::string& instance);
-  /// The instance failed or fell silent; true when this is worth telling, at
-  /// most once in the time of patience.
-  bool Failed(TimePoint now, const std::string& instance);
-  /// What to think of a call sent to it at `sent`.
-  enum class Verdict : uint8_t {
-    kWait,   ///< Not silent for long, or a probe is under way.
-    kProbe,  ///< Silent for the time of patience: ask whether it is there.
-    kDoubt,  ///< Silent, and the probe was not answered either.
+  PeerHealth(std::chrono::milliseconds contact_timeout,
+             std::chrono::milliseconds probe_timeout)
+      : contact_timeout_(contact_timeout), probe_timeout_(probe_timeout) {}
+
+  /// Records an answer. Returns true if the instance had been suspected.
+  bool OnAnswer(TimePoint now, const std::string& instance);
+  /// Records a failure or timeout. Returns true if it should be reported, at
+  /// most once per contact timeout.
+  bool OnFailure(TimePoint now, const std::string& instance);
+  /// State of an unanswered call.
+  enum class CallState : uint8_t {
+    kWait,       ///< Contact is recent, or a probe is in flight.
+    kProbe,      ///< The contact timeout has passed; a probe must be sent.
+    kSuspected,  ///< The contact timeout has passed and the probe was not
+                 ///< answered.
   };
-  Verdict Judge(TimePoint now, const std::string& instance, TimePoint sent);
-  /// When to judge that call again.
-  TimePoint JudgeAt(const std::string& instance, TimePoint sent) const;
+  CallState Evaluate(TimePoint now, const std::string& instance,
+                     TimePoint sent);
+  /// Returns the time at which to evaluate that call again.
+  TimePoint NextEvaluation(const std::string& instance, TimePoint sent) const;
 
  private:
   struct Record {
-    TimePoint heard;
+    TimePoint last_contact;
     bool suspected = false;
-    TimePoint tell_again_at;
-    /// When the last probe has to be answered.
-    TimePoint probe_until;
+    TimePoint next_report_at;
+    /// Deadline of the last probe.
+    TimePoint probe_deadline;
   };
 
-  TimePoint SilentAt(const Record* record, TimePoint sent) const;
+  TimePoint TimeoutAt(const Record* record, TimePoint sent) const;
 
-  std::chrono::milliseconds patience_;
-  std::chrono::milliseconds probe_patience_;
+  std::chrono::milliseconds contact_timeout_;
+  std::chrono::milliseconds probe_timeout_;
   std::map<std::string, Record> records_;
 };
 
--- a/testsuite/admission_queue/queue_test.cc
+++ b/testsuite/admission_queue/queue_test.cc
@@ -40,23 +40,23 @@
           Policy("bronze", 7, 2)};
 }
 
-// Finishes statements at a steady rate while something waits, so that the
-// drain rate is measured.
-int64_t Measure(Queue* queue, int64_t now, int64_t interval_ms) {
+// Finishes statements at a steady rate while a ticket is queued, so that the
+// queue measures the drain rate.
+int64_t MeasureDrainRate(Queue* queue, int64_t now, int64_t interval_ms) {
   queue->Push(At(now), TicketOf(1000000, "gold", now, now + 1000000));
   for (int i = 0; i < 200; ++i) {
     now += interval_ms;
-    queue->Finished(At(now));
+    queue->RecordFinished(At(now));
   }
   queue->Remove(1000000);
   return now;
 }
 
-// What the queue is told and what it answers, with a plain model beside it.
+// Reference model of the queued tickets.
 struct Model {
   std::map<uint64_t, Ticket> waiting;
 
-  void Refused(const std::vector<Refusal>& refused, uint64_t pushed) {
+  void EraseRefused(const std::vector<Refusal>& refused, uint64_t pushed) {
     for (const Refusal& refusal : refused) {
       const bool here = waiting.erase(refusal.tag) == 1;
       RC_ASSERT(here || refusal.tag == pushed);
@@ -72,8 +72,8 @@
   return 1000;
 }
 
-// Every ticket leaves exactly once: popped, refused or removed. One that left
-// twice would run a statement whose caller was told that it was not run.
+// Every ticket leaves exactly once: popped, refused or removed. A ticket that
+// left twice would run a statement whose caller was answered "not run".
 RC_GTEST_PROP(Queue, EveryTicketLeavesOnceAndClassesAreStrict, ()) {
   constexpr uint32_t kLimit = 6;
   Queue queue(Mixed(), kLimit, 1);
@@ -92,11 +92,11 @@
                    now, now + *rc::gen::inRange<int64_t>(-5, 400));
       ticket.in_transaction = *rc::gen::inRange(0, 5) == 0;
       const auto refused = queue.Push(At(now), ticket);
-      model.Refused(refused, tag);
-      const bool taken =
+      model.EraseRefused(refused, tag);
+      const bool accepted =
           std::none_of(refused.begin(), refused.end(),
                        [&](const Refusal& r) { return r.tag == tag; });
-      if (taken) model.waiting[tag] = ticket;
+      if (accepted) model.waiting[tag] = ticket;
     } else if (kind < 8) {
       const auto popped = queue.Pop(At(now), Always);
       if (!popped.has_value()) continue;
@@ -111,12 +111,12 @@
                   popped->tag < other_tag);
       }
     } else if (kind == 8) {
-      model.Refused(queue.Expire(At(now)), 0);
+      model.EraseRefused(queue.Expire(At(now)), 0);
       for (const auto& [other_tag, other] : model.waiting) {
         RC_ASSERT(other.deadline > At(now));
       }
     } else if (*rc::gen::arbitrary<bool>()) {
-      queue.Finished(At(now));
+      queue.RecordFinished(At(now));
     } else {
       const uint64_t some = *rc::gen::inRange<uint64_t>(0, tag + 1);
       RC_ASSERT(queue.Remove(some) == (model.waiting.erase(some) == 1));
@@ -142,8 +142,8 @@
   EXPECT_NEAR(served["c"], 500, 5);
 }
 
-// A workspace that asks for nothing for a while must not come back with a
-// claim to everything it did not use: the others would be shut out meanwhile.
+// A workspace that returns after an idle period must not claim the turns it did
+// not use, or the other workspaces would be shut out meanwhile.
 TEST(Queue, UnusedTurnsAreNotSavedUp) {
   Queue queue({Policy("a", 1), Policy("b", 1)}, 10000);
   uint64_t tag = 0;
@@ -171,8 +171,8 @@
   EXPECT_EQ(queue.Pop(At(1), Always)->tag, 1U);
 }
 
-// There is no primary: writes wait, reads behind them go on, and afterwards
-// the writes are served in their old order.
+// Without a primary, writes wait while reads behind them are served. Afterwards
+// the writes must be served in their original order.
 TEST(Queue, TicketsPassedOverKeepTheirPlace) {
   Queue queue(Mixed(), 10);
   for (uint64_t tag = 1; tag <= 6; ++tag) {
@@ -187,11 +187,11 @@
   EXPECT_FALSE(queue.Pop(At(1), even).has_value());
 }
 
-// Without the measured rate a caller with 200 ms left would wait for them in
-// vain behind two seconds of work, instead of being told at once.
+// Without the measured rate, a caller with 200 ms left would wait behind two
+// seconds of queued work instead of being refused at once.
 TEST(Queue, RefusesWhatWouldNotFinishInTime) {
   Queue queue({Policy("gold", 0)}, 10000);
-  const int64_t now = Measure(&queue, 0, 10);
+  const int64_t now = MeasureDrainRate(&queue, 0, 10);
   uint64_t tag = 0;
   for (int i = 0; i < 200; ++i) {
     EXPECT_TRUE(
@@ -207,8 +207,8 @@
               2000, 200);
 }
 
-// A burst after a quiet hour: the few statements of that hour say nothing
-// about how fast the group could be.
+// The few statements of an idle hour do not measure the capacity of the group;
+// a burst after it must be accepted.
 TEST(Queue, ABurstAfterAQuietTimeIsTaken) {
   Queue queue({Policy("gold", 0)}, 10000);
   uint64_t tag = 0;
@@ -217,7 +217,7 @@
     now += 60000;
     queue.Push(At(now), TicketOf(++tag, "gold", now, now + 100));
     queue.Pop(At(now), Always);
-    queue.Finished(At(now + 1));
+    queue.RecordFinished(At(now + 1));
   }
   for (int i = 0; i < 100; ++i) {
     EXPECT_TRUE(
@@ -225,55 +225,56 @@
   }
 }
 
-// Statements that find a free slot finish without anything waiting. Counted
-// against no busy time, they would make the group look endlessly fast, and
-// nothing would be refused when it is not.
-TEST(Queue, StatementsThatNeverWaitedTellNothing) {
+// Statements that find a free slot finish while nothing is queued. If they
+// counted without busy time, the measured rate would be unbounded, and nothing
+// would be refused under overload.
+TEST(Queue, StatementsThatNeverWaitedAreNotMeasured) {
   Queue queue({Policy("gold", 0)}, 10000);
-  for (int64_t ms = 0; ms < 10000; ++ms) queue.Finished(At(ms));
-  const int64_t now = Measure(&queue, 10000, 10);
+  for (int64_t ms = 0; ms < 10000; ++ms) queue.RecordFinished(At(ms));
+  const int64_t now = MeasureDrainRate(&queue, 10000, 10);
   for (uint64_t tag = 1; tag <= 100; ++tag) {
     queue.Push(At(now), TicketOf(tag, "gold", now, now + 60000));
   }
   EXPECT_GT(queue.expected_wait(At(now), "gold"), milliseconds(800));
 }
 
-// Reads wait a moment for the primary's term to be confirmed while all slots
-// are free; the next one comes as soon as they are answered. Nothing finishes
-// while they wait. Taken for a group that has nearly stopped, that refuses
-// callers with seconds left, although nobody waits for capacity.
-TEST(Queue, WaitingWithoutAnythingRunningTellsNothing) {
+// Reads wait briefly for the confirmation of the primary's term while all slots
+// are free, and new reads arrive as soon as they are answered. Nothing finishes
+// in that time. If it counted as busy time, the drain rate would fall to nearly
+// zero, and callers with seconds left would be refused although capacity is
+// free.
+TEST(Queue, WaitingWithoutRunningStatementsIsNotMeasured) {
   Queue queue({Policy("gold", 0)}, 10000);
   uint64_t tag = 1;
   for (int64_t ms = 0; ms < 5000; ++ms) {
-    queue.SetWorking(At(ms), false);
+    queue.SetStatementsRunning(At(ms), false);
     for (int i = 0; i < 8; ++i) {
       const auto refused =
           queue.Push(At(ms), TicketOf(tag++, "gold", ms, ms + 1000));
       ASSERT_TRUE(refused.empty()) << "after " << ms << " ms";
     }
-    // Confirmed after half a millisecond, running for the other half.
+    // Confirmed after 0.5 ms, running for the other 0.5 ms.
     const TimePoint confirmed = At(ms) + std::chrono::microseconds(500);
     while (queue.Pop(confirmed, [](const Ticket&) { return true; })) {
     }
-    queue.SetWorking(confirmed, true);
-    for (int i = 0; i < 8; ++i) queue.Finished(confirmed);
+    queue.SetStatementsRunning(confirmed, true);
+    for (int i = 0; i < 8; ++i) queue.RecordFinished(confirmed);
   }
 }
 
-// Higher classes use most of what the group can do. Told by the whole drain
-// rate, a low class would always seem to be nearly served, and its callers
-// would be held until their deadlines.
+// Higher classes use most of the capacity. By the whole drain rate, a low class
+// would always appear to be nearly served, and its callers would wait until
+// their deadlines.
 TEST(Queue, LowClassesAreJudgedByWhatIsLeftForThem) {
   Queue queue({Policy("gold", 0), Policy("bronze", 5)}, 10000);
-  int64_t now = Measure(&queue, 0, 10);
+  int64_t now = MeasureDrainRate(&queue, 0, 10);
   uint64_t tag = 0;
   for (int i = 0; i < 90; ++i) {
     queue.Push(At(now), TicketOf(++tag, "gold", now, now + 5000));
     queue.Pop(At(now), Always);
     queue.Push(At(now), TicketOf(++tag, "bronze", now, now + 60000));
     now += 10;
-    queue.Finished(At(now));
+    queue.RecordFinished(At(now));
   }
   EXPECT_LT(queue.expected_wait(At(now), "gold"), milliseconds(50));
   EXPECT_GT(queue.expected_wait(At(now), "bronze"), milliseconds(1500));
@@ -292,9 +293,9 @@
   EXPECT_EQ(refused[0].tag, 5U);
 }
 
-// One workspace floods the group. Those of its class that ask for little must
-// still get in.
-TEST(Queue, AFloodingWorkspaceGivesWayWithinItsClass) {
+// One workspace fills the queue. A workspace of the same class with few
+// requests must still be accepted.
+TEST(Queue, AFloodingWorkspaceIsEvictedWithinItsClass) {
   Queue queue({Policy("flood", 1), Policy("calm", 1)}, 100);
   uint64_t tag = 0;
   for (int i = 0; i < 500; ++i) {
@@ -306,11 +307,11 @@
   EXPECT_EQ(queue.size(), 100U);
 }
 
-// The group stops draining while tickets wait. They are told so once it is
-// plain that they won't be served, not when their deadline comes.
+// The group stops serving while tickets are queued. They must be refused as
+// soon as they cannot be served in time, not at their deadlines.
 TEST(Queue, ExpireGivesUpBeforeTheDeadlineWhenTheGroupStalls) {
   Queue queue({Policy("gold", 0)}, 10000);
-  const int64_t now = Measure(&queue, 0, 10);
+  const int64_t now = MeasureDrainRate(&queue, 0, 10);
   for (uint64_t tag = 1; tag <= 100; ++tag) {
     queue.Push(At(now), TicketOf(tag, "gold", now, now + 3000));
   }
@@ -338,10 +339,11 @@
   EXPECT_EQ(queue.size(), 4U);
 }
 
-// Everybody refused at once: told the same time, all would be back at once.
+// All callers are refused at once. With one common delay all of them would
+// return at once.
 TEST(Queue, RefusedCallersComeBackSpreadOut) {
   Queue queue({Policy("gold", 0)}, 10000, 7);
-  const int64_t now = Measure(&queue, 0, 10);
+  const int64_t now = MeasureDrainRate(&queue, 0, 10);
   for (uint64_t tag = 1; tag <= 500; ++tag) {
     queue.Push(At(now), TicketOf(tag, "gold", now, now + 60000));
   }
@@ -355,7 +357,7 @@
   }
 }
 
-// The same before the group's rate was ever measured, say on a new keeper.
+// Same as above before any rate is measured, as on a new keeper.
 TEST(Queue, RefusedCallersComeBackSpreadOutWithoutAMeasure) {
   Queue queue({Policy("gold", 0)}, 10000, 7);
   for (uint64_t tag = 1; tag <= 500; ++tag) {
@@ -368,10 +370,10 @@
   for (const auto& [time, callers] : per_10_ms) EXPECT_LE(callers, 100) << time;
 }
 
-// A keeper takes no time of arrival for granted.
+// A ticket without an arrival time must not appear to be late.
 TEST(Queue, ATicketWithoutTimeOfArrivalArrivesNow) {
   Queue queue({Policy("gold", 0)}, 10000);
-  const int64_t now = Measure(&queue, 1000000, 10);
+  const int64_t now = MeasureDrainRate(&queue, 1000000, 10);
   Ticket ticket = TicketOf(1, "gold", now, now + 1000);
   ticket.enqueued = TimePoint();
   queue.Push(At(now), ticket);
@@ -393,18 +395,18 @@
   queue.Push(At(0), TicketOf(1, "gold", 0, 1000));
   queue.Push(At(0), TicketOf(2, "gold", 0, 500));
   EXPECT_EQ(queue.next_deadline(), At(500));
-  EXPECT_EQ(queue.waiting(), std::vector<std::string>{"gold"});
+  EXPECT_EQ(queue.waiting_workspaces(), std::vector<std::string>{"gold"});
 }
 
-// A short standstill makes a queue that measures its own rate believe that it
-// serves next to nothing. If it then refuses whatever cannot run at once, it
-// never sees how fast it would serve, and callers are turned away for as long
-// as the load stays. With a rate given from outside they are let in again.
-TEST(Queue, LetsCallersInAfterAStandstillWhenTheRateIsGiven) {
+// After a short standstill, a queue that measures its own rate assumes a rate
+// near zero. If it then refuses every ticket that cannot run at once, it never
+// measures a higher rate and refuses callers for as long as the load lasts.
+// With an external rate it accepts them again.
+TEST(Queue, AcceptsCallersAfterAStandstillWithAnExternalRate) {
   Queue measured(Mixed(), 100);
-  Queue given(Mixed(), 100);
-  given.SetRate(100);
-  for (Queue* queue : {&measured, &given}) {
+  Queue external(Mixed(), 100);
+  external.SetDrainRate(100);
+  for (Queue* queue : {&measured, &external}) {
     for (uint64_t tag = 0; tag < 5; ++tag) {
       queue->Push(At(0), TicketOf(tag, "gold", 0, 400));
     }
@@ -413,7 +415,7 @@
   }
   EXPECT_EQ(measured.Push(At(2001), TicketOf(9, "gold", 2001, 2401)).size(),
             1U);
-  EXPECT_TRUE(given.Push(At(2001), TicketOf(9, "gold", 2001, 2401)).empty());
+  EXPECT_TRUE(external.Push(At(2001), TicketOf(9, "gold", 2001, 2401)).empty());
 }
 
 }  // namespace
--- a/testsuite/support/admission/overload.h
+++ b/testsuite/support/admission/overload.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A group under load in virtual time: arrivals, a queue, slots with service
-// times, callers that come back when they are told to.
+// Simulation of a group under load in virtual time: arrivals, a queue, slots
+// with service times, callers that retry after the suggested delay.
 
 #include <algorithm>
 #include <chrono>
@@ -33,14 +33,14 @@
   std::vector<Load> loads;
   milliseconds length{20000};
   uint32_t slots = 9;
-  /// Service times are uniform between these two.
+  /// Service times are uniform in this range.
   microseconds service_low{2000};
   microseconds service_high{8000};
   uint32_t queue_limit = 2000;
-  /// Nothing is started between these two.
+  /// No request is started in this period.
   milliseconds stall_from{0};
   milliseconds stall_until{0};
-  /// Refused callers come back as told until they are served.
+  /// Refused callers retry after the suggested delay until they are served.
   bool callers_return = false;
   uint64_t seed = 1;
 
@@ -50,16 +50,16 @@
   }
 };
 
-/// What became of one workspace's requests.
+/// Outcomes of one workspace's requests.
 struct Tally {
   uint64_t arrived = 0;
   uint64_t served = 0;
   uint64_t in_time = 0;
   uint64_t refused = 0;
-  /// Arrival to start, and arrival to answer, of those served.
+  /// Times from arrival to start and from arrival to answer of served requests.
   std::vector<microseconds> queued;
   std::vector<microseconds> answered;
-  /// Arrival to refusal.
+  /// Times from arrival to refusal.
   std::vector<microseconds> refusal;
 };
 
@@ -70,35 +70,37 @@
   return values[static_cast<size_t>(last * p)];
 }
 
-/// Discrete event simulation; the same scenario always gives the same result.
-class Overload {
+/// Discrete event simulation; deterministic for a given scenario.
+class OverloadSimulation {
  public:
-  explicit Overload(const Scenario& scenario)
+  explicit OverloadSimulation(const Scenario& scenario)
       : scenario_(scenario),
         queue_(Policies(scenario), scenario.queue_limit, scenario.seed),
         random_(scenario.seed),
         free_slots_(scenario.slots) {}
 
   void Run() {
-    for (const Load& load : scenario_.loads) PlanArrival(load, {});
+    for (const Load& load : scenario_.loads) ScheduleArrival(load, {});
     for (milliseconds at{0}; at < scenario_.length; at += kTick) {
-      Plan(at, [this] { Expired(queue_.Expire(Now())); });
+      Schedule(at, [this] { RecordRefusals(queue_.Expire(Now())); });
     }
     while (!events_.empty() && events_.top().at < scenario_.length) {
-      const Planned next = events_.top();
+      const ScheduledEvent next = events_.top();
       events_.pop();
       now_ = next.at;
       next.run();
-      Start();
+      StartRequests();
     }
   }
 
   const Tally& tally(const std::string& workspace) {
     return tallies_[workspace];
   }
-  /// Requests that were refused and run all the same. Has to be none.
+  /// Returns the number of requests that were refused and run nevertheless;
+  /// must be zero.
   uint64_t refused_and_run() const { return refused_and_run_; }
-  /// Answers in time, by 100 ms of the run.
+  /// Returns the number of answers in time in this period, at a resolution of
+  /// 100 ms.
   uint64_t in_time(milliseconds from, milliseconds until) const {
     uint64_t count = 0;
     for (auto at = from / kBucket; at < until / kBucket; ++at) {
@@ -107,28 +109,28 @@
     }
     return count;
   }
-  /// When a caller was last refused.
+  /// Returns the time of the last refusal.
   microseconds last_refusal() const { return last_refusal_; }
-  /// When the last request first asked for before the end of the stall was
-  /// served.
+  /// Returns the time at which the last request first submitted before the end
+  /// of the stall was served.
   microseconds backlog_done() const { return backlog_done_; }
 
  private:
   static constexpr milliseconds kTick{10};
   static constexpr milliseconds kBucket{100};
 
-  struct Planned {
+  struct ScheduledEvent {
     microseconds at;
     uint64_t order;
     std::function<void()> run;
-    bool operator<(const Planned& other) const {
+    bool operator<(const ScheduledEvent& other) const {
       return std::tie(other.at, other.order) < std::tie(at, order);
     }
   };
   struct Waiting {
     const Load* load = nullptr;
     microseconds arrived;
-    /// When the caller asked for the first time.
+    /// Time of the caller's first attempt.
     microseconds first;
   };
 
@@ -139,33 +141,33 @@
   }
 
   core::TimePoint Now() const { return core::TimePoint(now_); }
-  void Plan(microseconds at, std::function<void()> run) {
+  void Schedule(microseconds at, std::function<void()> run) {
     events_.push({at, order_++, std::move(run)});
   }
 
-  void PlanArrival(const Load& load, microseconds after) {
+  void ScheduleArrival(const Load& load, microseconds after) {
     std::exponential_distribution<double> gap(load.per_second);
     const auto at =
         after + microseconds(static_cast<int64_t>(1e6 * gap(random_)));
     if (at >= scenario_.length) return;
-    Plan(at, [this, &load] {
+    Schedule(at, [this, &load] {
       ++tallies_[load.policy.workspace].arrived;
-      Ask(load, now_);
-      PlanArrival(load, now_);
+      Submit(load, now_);
+      ScheduleArrival(load, now_);
     });
   }
 
-  void Ask(const Load& load, microseconds first) {
+  void Submit(const Load& load, microseconds first) {
     core::admission::Ticket ticket;
     ticket.tag = ++tag_;
     ticket.workspace = load.policy.workspace;
     ticket.enqueued = Now();
     ticket.deadline = Now() + load.deadline;
     waiting_[ticket.tag] = {&load, now_, first};
-    Expired(queue_.Push(Now(), ticket));
+    RecordRefusals(queue_.Push(Now(), ticket));
   }
 
-  void Expired(const std::vector<core::admission::Refusal>& refusals) {
+  void RecordRefusals(const std::vector<core::admission::Refusal>& refusals) {
     for (const auto& refusal : refusals) {
       const Waiting waiting = waiting_.at(refusal.tag);
       Tally& tally = tallies_[waiting.load->policy.workspace];
@@ -174,8 +176,8 @@
       last_refusal_ = now_;
       refused_.insert(refusal.tag);
       if (!scenario_.callers_return) continue;
-      Plan(now_ + refusal.retry_after,
-           [this, waiting] { Ask(*waiting.load, waiting.first); });
+      Schedule(now_ + refusal.retry_after,
+               [this, waiting] { Submit(*waiting.load, waiting.first); });
     }
   }
 
@@ -183,7 +185,7 @@
     return now_ >= scenario_.stall_from && now_ < scenario_.stall_until;
   }
 
-  void Start() {
+  void StartRequests() {
     const auto any = [](const core::admission::Ticket&) { return true; };
     while (free_slots_ > 0 && !Stalled()) {
       const auto ticket = queue_.Pop(Now(), any);
@@ -194,14 +196,14 @@
           scenario_.service_low.count(), scenario_.service_high.count());
       const uint64_t tag = ticket->tag;
       const microseconds started = now_;
-      Plan(now_ + microseconds(service(random_)),
-           [this, tag, started] { Finish(tag, started); });
+      Schedule(now_ + microseconds(service(random_)),
+               [this, tag, started] { Finish(tag, started); });
     }
   }
 
   void Finish(uint64_t tag, microseconds started) {
     ++free_slots_;
-    queue_.Finished(Now());
+    queue_.RecordFinished(Now());
     const Waiting waiting = waiting_.at(tag);
     Tally& tally = tallies_[waiting.load->policy.workspace];
     ++tally.served;
@@ -220,7 +222,7 @@
   microseconds now_{0};
   uint64_t order_ = 0;
   uint64_t tag_ = 0;
-  std::priority_queue<Planned> events_;
+  std::priority_queue<ScheduledEvent> events_;
   std::map<uint64_t, Waiting> waiting_;
   std::set<uint64_t> refused_;
   std::map<std::string, Tally> tallies_;
@@ -230,7 +232,7 @@
   uint64_t refused_and_run_ = 0;
 };
 
-/// A load with a part of the capacity of `scenario`.
+/// Returns a load of `part` times the capacity of `scenario`.
 inline Load LoadOf(const Scenario& scenario, const std::string& workspace,
                    uint32_t priority, uint32_t weight, double part) {
   Load load;
@@ -241,9 +243,9 @@
   return load;
 }
 
-/// The highest class at half of the capacity, alone or with the other classes
-/// that bring all of them to twice the capacity.
-inline Scenario TwiceTheLoad(bool crowded) {
+/// Returns the highest class at half of the capacity, alone or with other
+/// classes that bring the total load to twice the capacity.
+inline Scenario DoubleLoad(bool crowded) {
   Scenario scenario;
   scenario.loads.push_back(LoadOf(scenario, "gold", 0, 1, 0.5));
   if (!crowded) return scenario;
@@ -253,9 +255,9 @@
   return scenario;
 }
 
-/// Half of the capacity is asked for; for three seconds nothing is served, as
-/// when a primary is lost; refused callers come back until they are served.
-inline Scenario Storm() {
+/// Returns a load of half the capacity with a stall of three seconds, as when a
+/// primary is lost; refused callers retry until they are served.
+inline Scenario RetryStorm() {
   Scenario scenario;
   scenario.length = milliseconds(40000);
   scenario.loads.push_back(LoadOf(scenario, "gold", 0, 1, 0.1));
--- a/testsuite/support/group/failover_trial.h
+++ b/testsuite/support/group/failover_trial.h
@@ -1,7 +1,6 @@
 #pragma once
 
-// One loss of a primary under a steady flow of writes: how long no write could
-// be made.
+// Measures the write outage after one loss of a primary under steady writes.
 
 #include <algorithm>
 #include <string>
@@ -13,9 +12,11 @@
 
 enum class Loss {
   kKilled,
-  kCutOff,  ///< From its peers; still accepts connections.
+  kCutFromPeers,  ///< No connection to its peers; still accepts connections of
+                  ///< keepers.
   kFrozen,
-  kSilent,  ///< Cut off from everybody: no answers, no resets.
+  kUnreachable,  ///< No connection to any peer or keeper: neither answers nor
+                 ///< resets.
   kKilledWithKeeper,
   kFrozenWithKeeper,
   kPlanned,
@@ -24,42 +25,42 @@
 struct FailoverResult {
   Duration gap{0};
   uint64_t promotions = 0;
-  std::vector<std::string> wrong;
+  std::vector<std::string> errors;
 };
 
-/// Time that a successor takes to notice the loss of a keeper: it asks once a
-/// second and waits half a second for the answer.
-constexpr milliseconds kSuccessorAsksEvery{1000};
-constexpr milliseconds kSuccessorPatience{500};
-constexpr milliseconds kWriteEvery{5};
+/// A successor sends heartbeats to the keeper once a second with a timeout of
+/// half a second. These bound the time until it detects the loss of the keeper.
+constexpr milliseconds kSuccessorHeartbeatInterval{1000};
+constexpr milliseconds kSuccessorTimeout{500};
+constexpr milliseconds kWriteInterval{5};
 
-/// How often writes come.
+/// Rate of writes.
 enum class Traffic { kSteady, kRare };
-constexpr milliseconds kRareWriteEvery{3000};
+constexpr milliseconds kRareWriteInterval{3000};
 
 class FailoverTrial {
  public:
   FailoverTrial(GroupShape shape, uint64_t seed,
                 Traffic traffic = Traffic::kSteady)
       : group_(std::move(shape), seed),
-        write_every_(traffic == Traffic::kRare ? kRareWriteEvery
-                                               : kWriteEvery) {
+        write_interval_(traffic == Traffic::kRare ? kRareWriteInterval
+                                                  : kWriteInterval) {
     group_.AddKeeper();
     group_.time().RunFor(std::chrono::seconds(1));
-    WriteOn();
+    WriteNext();
     const auto until_fault = milliseconds(500 + group_.random()() % 1000);
     group_.time().RunFor(until_fault);
   }
 
   FailoverResult Run(Loss loss) {
-    Strike(loss);
+    InjectLoss(loss);
     group_.time().RunFor(std::chrono::seconds(8));
     FailoverResult result = Finish();
-    result.wrong = group_.HealAndCheck();
+    result.errors = group_.HealAndCheck();
     return result;
   }
 
-  /// Runs on under a disturbance that must not cause a promotion.
+  /// Runs under a disturbance that must not cause a promotion.
   FailoverResult Disturb(Duration stall, Duration network_delay) {
     group_["a"].stall = stall;
     for (const char* name : {"a", "b", "c"}) {
@@ -76,38 +77,38 @@
   }
 
  private:
-  void WriteOn() {
+  void WriteNext() {
     if (stopped_) return;
     group_.Send(keeper_, group_.Write(std::chrono::seconds(1)),
                 [this](const core::StatementAnswer& answer) {
                   if (answer.kind() != core::OutcomeKind::kDone) return;
-                  done_.push_back(group_.time().now());
+                  done_at_.push_back(group_.time().now());
                 });
-    group_.time().After(write_every_, [this] { WriteOn(); });
+    group_.time().After(write_interval_, [this] { WriteNext(); });
   }
 
-  void Strike(Loss loss) {
+  void InjectLoss(Loss loss) {
     switch (loss) {
       case Loss::kKilled:
         group_.Kill("a");
         return;
-      case Loss::kCutOff:
+      case Loss::kCutFromPeers:
         group_["a"].peers_cut = true;
         return;
       case Loss::kFrozen:
         group_["a"].frozen = true;
         return;
-      case Loss::kSilent:
+      case Loss::kUnreachable:
         group_["a"].peers_cut = true;
         group_.keeper(0).cut.insert("a");
         return;
       case Loss::kKilledWithKeeper:
         group_.Kill("a");
-        LoseKeeper();
+        ReplaceKeeper();
         return;
       case Loss::kFrozenWithKeeper:
         group_["a"].frozen = true;
-        LoseKeeper();
+        ReplaceKeeper();
         return;
       case Loss::kPlanned:
         group_.Policy("a");
@@ -115,22 +116,23 @@
     }
   }
 
-  void LoseKeeper() {
+  void ReplaceKeeper() {
     group_.keeper(0).Kill();
-    const auto asked = group_.random()() % kSuccessorAsksEvery.count();
-    group_.time().After(milliseconds(asked) + kSuccessorPatience,
+    const auto heartbeat_delay =
+        group_.random()() % kSuccessorHeartbeatInterval.count();
+    group_.time().After(milliseconds(heartbeat_delay) + kSuccessorTimeout,
                         [this] { keeper_ = group_.AddKeeper(); });
   }
 
   FailoverResult Finish() {
     stopped_ = true;
     FailoverResult result;
-    for (size_t i = 1; i < done_.size(); ++i) {
-      result.gap = std::max(result.gap, done_[i] - done_[i - 1]);
+    for (size_t i = 1; i < done_at_.size(); ++i) {
+      result.gap = std::max(result.gap, done_at_[i] - done_at_[i - 1]);
     }
-    if (!done_.empty()) {
-      const auto tail = group_.time().now() - done_.back();
-      result.gap = std::max(result.gap, tail);
+    if (!done_at_.empty()) {
+      const auto since_last_write = group_.time().now() - done_at_.back();
+      result.gap = std::max(result.gap, since_last_write);
     }
     for (size_t i = 0; i < group_.keepers(); ++i) {
       for (const auto& [name, count] :
@@ -142,19 +144,19 @@
   }
 
   FakeGroup group_;
-  milliseconds write_every_;
+  milliseconds write_interval_;
   int keeper_ = 0;
   bool stopped_ = false;
-  std::vector<TimePoint> done_;
+  std::vector<TimePoint> done_at_;
 };
 
-/// Median and worst of many trials of one loss.
+/// Median and maximum over many trials of one loss.
 struct FailoverFigures {
   Duration median{0};
   Duration worst{0};
   uint64_t promotions = 0;
   size_t trials = 0;
-  std::vector<std::string> wrong;
+  std::vector<std::string> errors;
 };
 
 inline FailoverFigures MeasureLoss(const GroupShape& shape, Loss loss,
@@ -166,8 +168,9 @@
     const FailoverResult result = trial.Run(loss);
     gaps.push_back(result.gap);
     figures.promotions += result.promotions;
-    for (const std::string& text : result.wrong) {
-      figures.wrong.push_back("seed " + std::to_string(seed + i) + ": " + text);
+    for (const std::string& text : result.errors) {
+      figures.errors.push_back("seed " + std::to_string(seed + i) + ": " +
+                               text);
     }
   }
   std::sort(gaps.begin(), gaps.end());
@@ -177,7 +180,7 @@
   return figures;
 }
 
-/// Promotions that a disturbance caused in `trials` runs.
+/// Returns the promotions that a disturbance caused in `trials` runs.
 inline uint64_t CountFalsePromotions(const GroupShape& shape, Duration stall,
                                      Duration network_delay, Traffic traffic,
                                      size_t trials, uint64_t seed) {
--- a/testsuite/support/group/fake_group.h
+++ b/testsuite/support/group/fake_group.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A database group with one or two keepers and clients on it, and the check of
-// what the clients were told against the databases' own logs.
+// A database group with keepers and clients, and a check of the clients'
+// answers against the logs of the databases.
 
 #include <map>
 #include <memory>
@@ -23,8 +23,8 @@
   std::vector<core::WorkspacePolicy> workspaces;
 };
 
-/// Profile of a deployment: one-way delay between failure domains and time for
-/// a new connection.
+/// Returns the shape of a deployment with this one-way delay between failure
+/// domains and this time to open a connection.
 inline GroupShape ShapeOf(Duration one_way, milliseconds connect_time,
                           uint32_t connection_limit = 20) {
   GroupShape shape;
@@ -54,15 +54,15 @@
   return ShapeOf(milliseconds(1), milliseconds(30), 40);
 }
 
-/// One request as its caller knows it.
-struct Asked {
+/// One request as seen by its caller.
+struct SentRequest {
   core::StatementRequest request;
   TimePoint at;
   std::optional<core::StatementAnswer> answer;
   TimePoint answered_at;
   int answers = 0;
   int keeper = 0;
-  /// The caller sent this id before and does not know what became of it.
+  /// The caller sent this id before and its outcome is unknown to it.
   bool repeat = false;
 };
 
@@ -79,48 +79,49 @@
           shape_.database);
     }
     for (auto& [name, database] : databases_) {
-      database->StartAs(shape_.spec.databases.front().database);
+      database->StartWithPrimary(shape_.spec.databases.front().database);
     }
   }
 
-  /// Starts a keeper and tells its number.
+  /// Starts a keeper and returns its number.
   int AddKeeper() {
     const int number = static_cast<int>(hosts_.size());
     hosts_.push_back(std::make_unique<KeeperHost>(
         number, &queue_, &databases_, shape_.network, random_(),
         [this](uint64_t tag, const core::StatementAnswer& answer) {
-          OnAnswer(tag, answer);
+          RecordAnswer(tag, answer);
         }));
-    hosts_.back()->Begin(std::make_unique<core::group::Keeper>(
+    hosts_.back()->Start(std::make_unique<core::group::Keeper>(
         shape_.spec, shape_.workspaces, "instance" + std::to_string(number),
         "b", shape_.timing, random_()));
     return number;
   }
 
-  /// Sends a request through a keeper; `then` is called with the answer.
+  /// Sends a request through a keeper and returns its tag; `then` is called
+  /// with the answer.
   uint64_t Send(int keeper, const core::StatementRequest& request,
                 Then then = {}, bool repeat = false) {
     const uint64_t tag = next_tag_++;
-    Asked& asked = asked_[tag];
-    asked.request = request;
-    asked.at = queue_.now();
-    asked.keeper = keeper;
-    asked.repeat = repeat;
+    SentRequest& sent = sent_[tag];
+    sent.request = request;
+    sent.at = queue_.now();
+    sent.keeper = keeper;
+    sent.repeat = repeat;
     then_[tag] = std::move(then);
     hosts_[keeper]->Feed(core::group::RequestArrived{tag, request});
     return tag;
   }
   uint64_t Settle(int keeper, const std::string& id, milliseconds within) {
     const uint64_t tag = next_tag_++;
-    Asked& asked = asked_[tag];
-    asked.repeat = true;
-    asked.request.request_id = id;
-    asked.request.kind = core::StatementKind::kWrite;
-    asked.request.sql = id;
-    asked.request.deadline = queue_.now() + within;
-    asked.at = queue_.now();
-    asked.keeper = keeper;
-    core::SettleRequest settle{id, "passports", "gate", asked.request.deadline};
+    SentRequest& sent = sent_[tag];
+    sent.repeat = true;
+    sent.request.request_id = id;
+    sent.request.kind = core::StatementKind::kWrite;
+    sent.request.sql = id;
+    sent.request.deadline = queue_.now() + within;
+    sent.at = queue_.now();
+    sent.keeper = keeper;
+    core::SettleRequest settle{id, "passports", "gate", sent.request.deadline};
     hosts_[keeper]->Feed(core::group::SettleArrived{tag, settle});
     return tag;
   }
@@ -136,7 +137,7 @@
     request.deadline = queue_.now() + within;
     return request;
   }
-  /// Asks whether `value` is there.
+  /// Returns a read that checks whether `value` was written.
   core::StatementRequest Read(const std::string& value, milliseconds within,
                               core::LogPosition seen, milliseconds max_age) {
     core::StatementRequest request = Write(within);
@@ -167,15 +168,15 @@
   KeeperHost& keeper(int number) { return *hosts_.at(number); }
   size_t keepers() const { return hosts_.size(); }
   EventQueue& time() { return queue_; }
-  const std::map<uint64_t, Asked>& asked() const { return asked_; }
-  const Asked& asked(uint64_t tag) const { return asked_.at(tag); }
+  const std::map<uint64_t, SentRequest>& sent() const { return sent_; }
+  const SentRequest& sent(uint64_t tag) const { return sent_.at(tag); }
   std::mt19937_64& random() { return random_; }
   GroupShape& shape() { return shape_; }
   std::map<std::string, std::unique_ptr<FakeDatabase>>& databases() {
     return databases_;
   }
 
-  /// The primary of the highest term, null when there is none.
+  /// Returns the primary of the highest term; null if there is none.
   FakeDatabase* primary() {
     FakeDatabase* best = nullptr;
     for (auto& [name, database] : databases_) {
@@ -187,7 +188,8 @@
     return best;
   }
 
-  /// Ends all faults, lets the group come to rest, and returns what is wrong.
+  /// Ends all faults, runs the group until it is idle, and returns the
+  /// violations found.
   std::vector<std::string> HealAndCheck() {
     Heal();
     queue_.RunFor(std::chrono::seconds(20));
@@ -215,66 +217,68 @@
   }
 
   std::vector<std::string> Check() {
-    std::vector<std::string> wrong;
+    std::vector<std::string> errors;
     FakeDatabase* final = primary();
-    if (final == nullptr) return {"the group has no primary in the end"};
+    if (final == nullptr) return {"the group has no primary after recovery"};
     for (auto& [name, database] : databases_) {
       if (database->log().last() != final->log().last()) {
-        wrong.push_back("log of " + name + " differs in the end");
+        errors.push_back("log of " + name +
+                         " differs from that of the primary after recovery");
       }
     }
-    for (const auto& [tag, asked] : asked_) CheckOne(*final, asked, &wrong);
-    for (std::string& text : late_) wrong.push_back(std::move(text));
-    return wrong;
+    for (const auto& [tag, sent] : sent_) CheckOne(*final, sent, &errors);
+    for (std::string& text : answer_errors_) errors.push_back(std::move(text));
+    return errors;
   }
 
  private:
-  void CheckOne(const FakeDatabase& final, const Asked& asked,
-                std::vector<std::string>* wrong) {
-    const core::StatementRequest& request = asked.request;
+  void CheckOne(const FakeDatabase& final, const SentRequest& sent,
+                std::vector<std::string>* errors) {
+    const core::StatementRequest& request = sent.request;
     const std::string& id = request.request_id;
-    const bool gone = !hosts_[asked.keeper]->alive();
-    if (asked.answers > 1) wrong->push_back(id + " was answered twice");
-    if (!asked.answer) {
-      if (!gone) wrong->push_back(id + " was never answered");
+    const bool keeper_dead = !hosts_[sent.keeper]->alive();
+    if (sent.answers > 1) errors->push_back(id + " was answered twice");
+    if (!sent.answer) {
+      if (!keeper_dead) errors->push_back(id + " was never answered");
       return;
     }
-    const core::StatementAnswer& answer = *asked.answer;
+    const core::StatementAnswer& answer = *sent.answer;
     const bool write = request.kind == core::StatementKind::kWrite &&
                        request.step == core::Step::kStatement &&
                        request.transaction.empty();
     const bool commit = request.step == core::Step::kCommit;
     const int count = final.log().CountOf(request.sql);
-    if (write && count > 1) wrong->push_back(id + " is there twice");
+    if (write && count > 1) errors->push_back(id + " was written twice");
     if (!write && !commit) return;
     if (answer.kind() == core::OutcomeKind::kDone && count != 1) {
-      wrong->push_back(id + " was told done and is there " +
-                       std::to_string(count) + " times");
+      errors->push_back(id + " was answered done but written " +
+                        std::to_string(count) + " times");
     }
-    // A refusal of a repeat that was never sent says nothing of the first
-    // sending; a fence speaks for the id.
+    // The refusal of a repeat that was never sent does not cover the first
+    // attempt; a fence covers the id.
     const bool fenced = answer.reason() == core::Reason::kFenced ||
                         answer.reason() == core::Reason::kDiscarded;
-    const bool speaks_for_id = fenced || !asked.repeat;
+    const bool speaks_for_id = fenced || !sent.repeat;
     if (answer.kind() == core::OutcomeKind::kNotRun && speaks_for_id &&
         count != 0) {
-      wrong->push_back(id + " was told not run and is there");
+      errors->push_back(id + " was answered not run but written");
     }
   }
 
-  void OnAnswer(uint64_t tag, const core::StatementAnswer& answer) {
-    Asked& asked = asked_.at(tag);
-    ++asked.answers;
-    asked.answer = answer;
-    asked.answered_at = queue_.now();
-    const std::string& id = asked.request.request_id;
-    if (queue_.now() > asked.request.deadline && !hosts_.empty() &&
-        !thawed_.contains(asked.keeper)) {
-      late_.push_back(id + " was answered after its deadline");
+  void RecordAnswer(uint64_t tag, const core::StatementAnswer& answer) {
+    SentRequest& sent = sent_.at(tag);
+    ++sent.answers;
+    sent.answer = answer;
+    sent.answered_at = queue_.now();
+    const std::string& id = sent.request.request_id;
+    if (queue_.now() > sent.request.deadline && !hosts_.empty() &&
+        !frozen_keepers_.contains(sent.keeper)) {
+      answer_errors_.push_back(id + " was answered after its deadline");
     }
     if (answer.kind() == core::OutcomeKind::kDone &&
         !answer.result_json().starts_with(id)) {
-      late_.push_back(id + " got the answer " + answer.result_json());
+      answer_errors_.push_back(id + " received the answer " +
+                               answer.result_json());
     }
     const auto then = then_.find(tag);
     if (then == then_.end()) return;
@@ -284,10 +288,11 @@
   }
 
  public:
-  /// Keepers that were frozen cannot answer in time meanwhile.
+  /// Freezes a keeper. Late answers of a keeper that was frozen are not counted
+  /// as violations.
   void FreezeKeeper(int number) {
     hosts_[number]->Freeze();
-    thawed_.insert(number);
+    frozen_keepers_.insert(number);
   }
 
  private:
@@ -296,10 +301,10 @@
   EventQueue queue_;
   std::map<std::string, std::unique_ptr<FakeDatabase>> databases_;
   std::vector<std::unique_ptr<KeeperHost>> hosts_;
-  std::map<uint64_t, Asked> asked_;
+  std::map<uint64_t, SentRequest> sent_;
   std::map<uint64_t, Then> then_;
-  std::set<int> thawed_;
-  std::vector<std::string> late_;
+  std::set<int> frozen_keepers_;
+  std::vector<std::string> answer_errors_;
   uint64_t next_tag_ = 1;
   uint64_t next_id_ = 1;
 };
--- a/testsuite/support/group/fake_log.h
+++ b/testsuite/support/group/fake_log.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The log of a fake database, with the records and fences found in it.
+// The log of a fake database, with an index of its records and fences.
 
 #include <algorithm>
 #include <cstdint>
@@ -19,9 +19,9 @@
 struct LogEntry {
   uint64_t term = 0;
   EntryKind kind = EntryKind::kWrite;
-  /// Workspace and request id; of the commit for a transaction.
+  /// Workspace and request id; for a transaction, those of its commit.
   std::string key;
-  /// What the entry wrote, by sql text.
+  /// The SQL texts of the entry's writes.
   std::vector<std::string> values;
 };
 
@@ -32,31 +32,33 @@
     return {entries_.back().term, entries_.size()};
   }
 
-  const std::vector<core::TermStart>& term_starts() const { return starts_; }
+  const std::vector<core::TermStart>& term_starts() const {
+    return term_starts_;
+  }
 
   core::LogPosition Append(LogEntry entry) {
     entries_.push_back(std::move(entry));
-    Index(entries_.size() - 1);
+    IndexEntry(entries_.size() - 1);
     return last();
   }
 
-  /// Drops everything after the first `size` entries.
+  /// Removes all entries after the first `size`.
   void Truncate(size_t size) {
     entries_.resize(std::min(size, entries_.size()));
     records_.clear();
     values_.clear();
-    starts_.clear();
-    for (size_t i = 0; i < entries_.size(); ++i) Index(i);
+    term_starts_.clear();
+    for (size_t i = 0; i < entries_.size(); ++i) IndexEntry(i);
   }
 
-  /// Entries after the first `from`.
+  /// Returns the entries after the first `from`.
   std::vector<LogEntry> Tail(size_t from) const {
     return {entries_.begin() + static_cast<std::ptrdiff_t>(from),
             entries_.end()};
   }
 
-  /// How many entries are shared with a log that holds the same first `from`
-  /// entries, followed by `tail`.
+  /// Returns the number of entries in common with a log that has the same first
+  /// `from` entries, followed by `tail`.
   size_t CommonWith(size_t from, const std::vector<LogEntry>& tail) const {
     size_t common = from;
     while (common < entries_.size() && common - from < tail.size() &&
@@ -66,7 +68,8 @@
     return common;
   }
 
-  /// The write or fence with this key, as its index from 0.
+  /// Returns the index, from 0, of the write or fence with this key; nullopt if
+  /// there is none.
   std::optional<size_t> Find(const std::string& key) const {
     const auto it = records_.find(key);
     if (it == records_.end()) return std::nullopt;
@@ -85,10 +88,10 @@
   const std::vector<LogEntry>& entries() const { return entries_; }
 
  private:
-  void Index(size_t i) {
+  void IndexEntry(size_t i) {
     const LogEntry& entry = entries_[i];
-    if (starts_.empty() || starts_.back().term != entry.term) {
-      starts_.push_back({entry.term, i + 1});
+    if (term_starts_.empty() || term_starts_.back().term != entry.term) {
+      term_starts_.push_back({entry.term, i + 1});
     }
     if (!entry.key.empty()) records_.emplace(entry.key, i);
     for (const std::string& value : entry.values) ++values_[value];
@@ -97,7 +100,7 @@
   std::vector<LogEntry> entries_;
   std::map<std::string, size_t> records_;
   std::map<std::string, int> values_;
-  std::vector<core::TermStart> starts_;
+  std::vector<core::TermStart> term_starts_;
 };
 
 }  // namespace ryefold::test
--- a/testsuite/support/group/share_trial.h
+++ b/testsuite/support/group/share_trial.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// How many reads replicas serve, beside what a router that knew every log at
-// every moment could have given them.
+// Measures the reads served by replicas, compared with the upper bound of a
+// router that has every log position at every moment.
 
 #include <string>
 #include <vector>
@@ -12,10 +12,10 @@
 
 struct ShareLoad {
   milliseconds lag{50};
-  /// Statements a second, over all sessions.
+  /// Statements per second over all sessions.
   int rate = 100;
   int sessions = 50;
-  /// One statement in so many is a write.
+  /// One statement in `write_every` is a write.
   int write_every = 10;
   milliseconds loose_age{5000};
 };
@@ -23,19 +23,20 @@
 struct ShareFigures {
   uint64_t reads = 0;
   uint64_t by_replica = 0;
-  /// Reads for which some replica held all they needed when they arrived.
+  /// Reads for which some replica had every required entry on arrival.
   uint64_t allowed = 0;
   uint64_t unanswered = 0;
 
   double share() const { return Ratio(by_replica, reads); }
   double bound() const { return Ratio(allowed, reads); }
-  /// Share of what was allowed.
-  double reached() const { return Ratio(by_replica, allowed); }
+  /// Returns the fraction of the upper bound that was reached.
+  double share_of_bound() const { return Ratio(by_replica, allowed); }
 
  private:
-  static double Ratio(uint64_t part, uint64_t whole) {
-    return whole == 0 ? 0
-                      : static_cast<double>(part) / static_cast<double>(whole);
+  static double Ratio(uint64_t factor, uint64_t whole) {
+    return whole == 0
+               ? 0
+               : static_cast<double>(factor) / static_cast<double>(whole);
   }
 };
 
@@ -51,12 +52,13 @@
 
   ShareFigures Run(Duration time) {
     const TimePoint end = group_.time().now() + time;
-    const Duration gap = Duration(std::chrono::seconds(1)) / load_.rate;
+    const Duration mean_interval =
+        Duration(std::chrono::seconds(1)) / load_.rate;
     while (group_.time().now() < end) {
-      Next();
-      // Arrivals without a beat: between half and one and a half gaps.
-      const auto part = 500 + group_.random()() % 1000;
-      group_.time().RunFor(gap * part / 1000);
+      SendNext();
+      // Irregular arrivals: intervals between 0.5 and 1.5 times the mean.
+      const auto factor = 500 + group_.random()() % 1000;
+      group_.time().RunFor(mean_interval * factor / 1000);
     }
     group_.time().RunFor(std::chrono::seconds(2));
     figures_.unanswered = figures_.reads - answered_;
@@ -64,12 +66,12 @@
   }
 
  private:
-  void Next() {
+  void SendNext() {
     const size_t session = group_.random()() % seen_.size();
     if (group_.random()() % load_.write_every == 0) {
       group_.Send(0, group_.Write(std::chrono::seconds(1)),
                   [this, session](const core::StatementAnswer& answer) {
-                    See(session, answer);
+                    UpdateSession(session, answer);
                   });
       return;
     }
@@ -83,16 +85,17 @@
                   if (answer.kind() != core::OutcomeKind::kDone) return;
                   ++answered_;
                   if (answer.from_replica()) ++figures_.by_replica;
-                  See(session, answer);
+                  UpdateSession(session, answer);
                 });
   }
 
-  void See(size_t session, const core::StatementAnswer& answer) {
+  void UpdateSession(size_t session, const core::StatementAnswer& answer) {
     if (answer.kind() != core::OutcomeKind::kDone) return;
     seen_[session] = std::max(seen_[session], answer.seen());
   }
 
-  /// The lag is far below the loose age, so only the session binds there.
+  /// The lag is far below the loose age, so a loose read is bound only by its
+  /// session.
   bool Allowed(const core::LogPosition& seen, bool strict) {
     core::LogPosition needed = seen;
     if (strict) needed = std::max(needed, group_["a"].log().last());
