--- a/src/include/ryefold/core/configuration/document.h
+++ b/src/include/ryefold/core/configuration/document.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Operators' documents and the changes that made them.
+// Configuration documents and the changes that produce them.
 
 #include <chrono>
 #include <cstdint>
@@ -10,11 +10,12 @@
 
 namespace ryefold::core::configuration {
 
-/// One key as it stands after its last change. A deleted key stays as a
-/// document without text, so that the deletion travels like any change.
+/// The state of one key after its last change. A deleted key remains as a
+/// document without text, so that the deletion is replicated like any other
+/// change.
 struct Document {
   std::string key;
-  /// Revision of the change that last touched this key.
+  /// Revision of the last change to this key.
   uint64_t version = 0;
   std::optional<std::string> text;
   std::string change_id;
@@ -24,21 +25,21 @@
   bool operator==(const Document&) const = default;
 };
 
-/// What a change does to one key.
+/// The effect of a change on one key.
 struct Edit {
   std::string key;
-  /// Version of the key that the operator saw; 0 for a key never used.
+  /// Version of the key that the operator read; 0 for a key that never existed.
   uint64_t base_version = 0;
-  /// New text, nothing for a deletion.
+  /// New text; nullopt deletes the key.
   std::optional<std::string> text;
 
   bool operator==(const Edit&) const = default;
 };
 
-/// All edits of one change come into force together, at one revision.
+/// A set of edits that take effect atomically, at one revision.
 struct Change {
-  /// Chosen by the operator's tool. A lost reply is settled by finding this
-  /// id in the store, never by guessing.
+  /// Chosen by the client. After a lost reply, the outcome is determined by
+  /// looking up this id in the store.
   std::string change_id;
   std::string author;
   std::chrono::sys_seconds time{};
@@ -47,7 +48,7 @@
   bool operator==(const Change&) const = default;
 };
 
-/// One step in the history of a key.
+/// One version in the history of a key.
 struct HistoryEntry {
   uint64_t version = 0;
   uint64_t base_version = 0;
@@ -57,7 +58,7 @@
   std::optional<std::string> text;
 };
 
-/// A key that somebody else changed after the operator looked.
+/// A key whose version differs from the one that the operator read.
 struct Conflict {
   std::string key;
   uint64_t seen = 0;
--- a/src/include/ryefold/core/configuration/messages.h
+++ b/src/include/ryefold/core/configuration/messages.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What instances tell one another about configuration and membership, and
-// what they keep in the platform's key-value service.
+// Messages that instances exchange about configuration and membership, and the
+// values kept in the platform's key-value store.
 
 #include <chrono>
 #include <cstdint>
@@ -16,58 +16,62 @@
 
 // ---- between instances ----
 
-/// News of one instance, ahead of the platform's lagging list: it has begun,
-/// or is leaving. Passed on while new, forgotten after a few minutes.
+/// An instance's announcement that it has started or is leaving, which takes
+/// effect before the platform's lagging list shows it. Forwarded while new and
+/// dropped after a few minutes.
 struct Notice {
   membership::Member member;
-  /// The highest one of an instance counts.
+  /// The notice with the highest sequence number of an instance takes
+  /// precedence.
   uint64_t sequence = 0;
 };
 
-/// Documents of one side that the other lacks, oldest version first. Until a
-/// block with `complete` arrives the receiver keeps them aside: documents
-/// overwritten on the way are missing, so a part alone is a state that never
-/// was in force.
+/// Documents that the receiver lacks, in order of version. The receiver stages
+/// them until a block with `complete` arrives: a partial set omits documents
+/// that have since been overwritten and matches no revision.
 struct DocumentBlock {
   std::vector<Document> documents;
-  /// The block holds every document with a version above `after` and up to
-  /// `through`, as the sender has it.
+  /// The block holds every document of the sender with a version above `after`
+  /// and up to `through`.
   uint64_t after = 0;
   uint64_t through = 0;
-  /// With this block the receiver holds the sender's whole state.
+  /// After this block the receiver holds the complete state of the sender.
   bool complete = false;
 };
 
-/// Members that changed after the receiver's version of the list.
+/// Members that changed after the receiver's list version.
 struct MemberBlock {
   std::vector<membership::Member> changed;
   std::vector<std::string> removed;
-  /// The list version that the block adds to.
+  /// The list version to which the block applies.
   uint64_t after = 0;
-  /// Replaces the whole list instead of changing it.
+  /// The block replaces the whole list.
   bool full = false;
 };
 
-/// What one side has and lacks.
+/// The synchronization state of one instance: what it holds and what it needs.
 struct Standing {
   uint64_t revision = 0;
   uint64_t list_version = 0;
-  /// Whether the sender holds a whole state, however old.
+  /// Whether the sender holds a complete state, of any age.
   bool known = false;
-  /// Whether it also hears others that do, or the store.
+  /// Whether the sender also has recent contact with the store or with peers
+  /// that hold a complete state.
   bool ready = false;
-  /// Time since the store last answered any instance, as far as is known.
+  /// Time since the last response of the store to any instance, as far as the
+  /// sender has learned.
   std::chrono::milliseconds store_age{0};
-  /// Documents above this version are wanted. `want_documents` is false while
-  /// they are being fetched from another peer, so that a text is not sent
-  /// to one instance several times over.
+  /// The sender needs documents above this version. `want_documents` is false
+  /// while it fetches them from another peer, so that it does not receive the
+  /// same text from several peers.
   uint64_t have_documents = 0;
   bool want_documents = false;
   bool want_members = false;
 };
 
-/// Compares standings; sent to one peer a second, and to a few when there is
-/// news. Documents and members go only to a side known to lack them.
+/// Compares the state of two instances. Sent to one peer about once per second,
+/// and to several peers after an update. Documents and members are sent only to
+/// a side that is known to lack them.
 struct Exchange {
   std::string from;
   Standing standing;
@@ -83,23 +87,26 @@
 };
 
 /// Asks whether `revision` is in force on the receiver and on `others`, which
-/// the receiver asks in turn; no instance asks more than a few dozen.
+/// the receiver queries as a delegate. No instance sends more than a few dozen
+/// queries.
 struct ForceQuery {
   uint64_t revision = 0;
   std::vector<std::string> others;
 };
 struct ForceReply {
-  /// How many, the receiver among them, have it in force.
+  /// Number of instances, including the receiver, on which the revision is in
+  /// force.
   uint64_t in_force = 0;
-  /// Names of those that do not, or did not answer.
+  /// Names of the instances that lack the revision or did not respond.
   std::vector<std::string> missing;
 };
 
-/// A successor asks the intended keeper of these groups whether it serves.
+/// Sent by a successor to the intended keeper of these groups, to check whether
+/// it serves them.
 struct DutyCheck {
   std::vector<std::string> groups;
 };
-/// Those of the groups that the receiver keeps.
+/// The queried groups that the receiver keeps.
 struct DutyReply {
   std::vector<std::string> keeping;
 };
@@ -109,13 +116,13 @@
 
 // ---- in the store ----
 
-/// Where the newest whole copy of the documents is.
+/// Location of the newest complete snapshot of the documents.
 struct SnapshotPointer {
   uint64_t revision = 0;
-  /// Parts are at prefix + "/0" and on.
+  /// The parts are stored under prefix + "/0", prefix + "/1" and so on.
   std::string prefix;
   uint64_t parts = 0;
-  /// Changes up to this revision have been emptied.
+  /// The changes up to this revision have been cleared.
   uint64_t trimmed = 0;
 
   bool operator==(const SnapshotPointer&) const = default;
@@ -123,7 +130,7 @@
 struct SnapshotPart {
   std::vector<Document> documents;
 };
-/// `std::monostate` is an absent or emptied key.
+/// `std::monostate` stands for an absent or cleared key.
 using StoreValue =
     std::variant<std::monostate, Change, SnapshotPointer, SnapshotPart>;
 
--- a/testsuite/configuration_codec/codec_test.cc
+++ b/testsuite/configuration_codec/codec_test.cc
@@ -1,5 +1,5 @@
-// Messages survive the way over the wire, damaged ones are refused, and those
-// of a newer version with more members are still read.
+// Messages are encoded and decoded without loss, damaged messages are rejected,
+// and messages of a newer version with additional fields are read.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -49,17 +49,17 @@
   const std::string body = WritePeerRequest(exchange);
   const auto read = ReadPeerControlRequest(kPeerExchange, body);
   ASSERT_TRUE(read.has_value());
-  const auto& back = std::get<Exchange>(*read);
-  EXPECT_EQ(back.from, exchange.from);
-  EXPECT_EQ(back.standing.revision, 7U);
-  EXPECT_EQ(back.standing.have_documents, 5U);
-  EXPECT_EQ(back.standing.store_age, std::chrono::milliseconds(250));
-  EXPECT_EQ(back.documents.documents, exchange.documents.documents);
-  EXPECT_TRUE(back.documents.complete);
-  EXPECT_EQ(back.members.changed, exchange.members.changed);
-  EXPECT_EQ(back.members.removed, exchange.members.removed);
-  EXPECT_EQ(back.notices[0].sequence, 12U);
-  EXPECT_EQ(WritePeerRequest(back), body);
+  const auto& decoded = std::get<Exchange>(*read);
+  EXPECT_EQ(decoded.from, exchange.from);
+  EXPECT_EQ(decoded.standing.revision, 7U);
+  EXPECT_EQ(decoded.standing.have_documents, 5U);
+  EXPECT_EQ(decoded.standing.store_age, std::chrono::milliseconds(250));
+  EXPECT_EQ(decoded.documents.documents, exchange.documents.documents);
+  EXPECT_TRUE(decoded.documents.complete);
+  EXPECT_EQ(decoded.members.changed, exchange.members.changed);
+  EXPECT_EQ(decoded.members.removed, exchange.members.removed);
+  EXPECT_EQ(decoded.notices[0].sequence, 12U);
+  EXPECT_EQ(WritePeerRequest(decoded), body);
 }
 
 TEST(ExchangeCodec, OtherMessagesRoundTrip) {
@@ -84,8 +84,8 @@
   }
 }
 
-// While a fleet is being replaced, two versions talk to each other. A member
-// that the older one does not know must not make it drop the message.
+// During a rolling upgrade two versions exchange messages. The older version
+// must skip unknown fields instead of rejecting the message.
 TEST(ExchangeCodec, UnknownMembersAreSkipped) {
   // {"rev": 4, "new": [1, 2], "others": ["a"]}
   const std::string body(
@@ -98,9 +98,9 @@
   EXPECT_EQ(std::get<ForceQuery>(*read).others.size(), 1U);
 }
 
-// A message cut short or with bytes turned over must be refused or read as
-// something else, never crash the instance.
-RC_GTEST_PROP(ExchangeCodec, DamagedMessagesDoNoHarm, ()) {
+// A truncated message is rejected. A message with a corrupted byte is rejected
+// or decoded to other values, but never crashes the instance.
+RC_GTEST_PROP(ExchangeCodec, DamagedMessagesDoNotCrash, ()) {
   std::string body = WritePeerRequest(SomeExchange());
   const auto at = *rc::gen::inRange<size_t>(0, body.size());
   if (*rc::gen::arbitrary<bool>()) {
@@ -138,7 +138,7 @@
   EXPECT_TRUE(std::get<StorePutDone>(*done).done);
   const auto refused = ReadStoreAnswer(put, 409, R"({"version":3})");
   EXPECT_FALSE(std::get<StorePutDone>(*refused).done);
-  // An error of the service says nothing about the put's effect.
+  // An error response does not show whether the put took effect.
   EXPECT_FALSE(ReadStoreAnswer(put, 500, R"({"version":3})").has_value());
   EXPECT_FALSE(ReadStoreAnswer(put, 200, "not json").has_value());
   const StoreRequest get = StoreGet{ChangeKey(1)};
--- a/testsuite/control_bounds/bounds_test.cc
+++ b/testsuite/control_bounds/bounds_test.cc
@@ -1,6 +1,7 @@
-// Bounds on what control costs, in counts and bytes of virtual time: messages
-// and bytes of an instance must not grow with the fleet, store calls neither.
-// What bench_control prints stands beside each bound in docs/CAPACITY.md.
+// Upper bounds on the cost of configuration and membership traffic in virtual
+// time. Messages and bytes per instance and store calls of the fleet must not
+// grow with its size. docs/CAPACITY.md lists the measurements of bench_control
+// beside each bound.
 
 #include <gtest/gtest.h>
 
@@ -22,26 +23,26 @@
 
 class Bounds : public ::testing::Test {
  protected:
-  void Begin(size_t instances) {
+  void StartFleet(size_t instances) {
     const FleetOptions options = TargetProportions(instances);
     fleet_ = std::make_unique<Fleet>(options);
     fleet_->SetGroups(GroupNames(options.groups));
     ASSERT_TRUE(fleet_->RunUntil([this] { return fleet_->AllReady(); }, 10s));
     fleet_->Run(10s);
   }
-  Cost Steady(size_t instances) {
-    Begin(instances);
+  Cost MeasureSteadyState(size_t instances) {
+    StartFleet(instances);
     Meter meter(fleet_.get());
     fleet_->Run(60s);
     return {meter.messages(), meter.bytes(), meter.store_calls()};
   }
-  void Publish(size_t i) {
+  void PublishChange(size_t i) {
     const std::string name = std::to_string(next_++);
     fleet_->Publish(
         i, ChangeOf(name, "workspace/" + name, 0, std::string(300, 'x')), 30s);
   }
-  /// Time until `revision` is in force everywhere.
-  milliseconds UntilInForce(uint64_t revision) {
+  /// Returns the time until `revision` is in force on all instances.
+  milliseconds TimeUntilInForce(uint64_t revision) {
     const TimePoint begin = fleet_->now();
     EXPECT_TRUE(fleet_->RunUntil(
         [&] {
@@ -57,9 +58,9 @@
 };
 
 TEST_F(Bounds, SteadyTrafficStaysFlatAsTheFleetGrows) {
-  const Cost small = Steady(8);
+  const Cost small = MeasureSteadyState(8);
   for (const size_t instances : {32U, 128U}) {
-    const Cost cost = Steady(instances);
+    const Cost cost = MeasureSteadyState(instances);
     EXPECT_LE(cost.messages, 6.5) << instances;
     EXPECT_LE(cost.bytes, 850) << instances;
     EXPECT_LE(cost.messages, 1.25 * small.messages) << instances;
@@ -71,34 +72,36 @@
 
 TEST_F(Bounds, AChangeIsInForceWithinTwoSeconds) {
   for (const size_t instances : {8U, 128U}) {
-    Begin(instances);
+    StartFleet(instances);
     for (uint64_t i = 1; i <= 10; ++i) {
-      Publish(i % instances);
-      EXPECT_LE(UntilInForce(i), 2s) << instances;
+      PublishChange(i % instances);
+      EXPECT_LE(TimeUntilInForce(i), 2s) << instances;
     }
   }
 }
 
 TEST_F(Bounds, ABurstOfAHundredChangesThroughOneInstance) {
-  Begin(128);
+  StartFleet(128);
   Meter meter(fleet_.get());
   for (int i = 0; i < 100; ++i) {
-    fleet_->After(milliseconds(10 * i), [this] { Publish(1); });
+    fleet_->After(milliseconds(10 * i), [this] { PublishChange(1); });
   }
-  EXPECT_LE(UntilInForce(100), 2s);
+  EXPECT_LE(TimeUntilInForce(100), 2s);
   EXPECT_LE(meter.bytes() * meter.seconds(), 150000);
   EXPECT_LE(meter.store_calls() * meter.seconds(), 500);
 }
 
-// A hundred operators publish within a second, each through an instance of his
-// own. They race for the end of the log, and the store must bear it.
+// A hundred operators publish within a second, each through a different
+// instance. The instances compete for the next revision, and the load on the
+// store must stay bounded.
 TEST_F(Bounds, ABurstOfAHundredChangesThroughManyInstances) {
-  Begin(128);
+  StartFleet(128);
   Meter meter(fleet_.get());
   for (int i = 0; i < 100; ++i) {
-    fleet_->After(milliseconds(10 * i), [this, i] { Publish(i * 13 % 128); });
+    fleet_->After(milliseconds(10 * i),
+                  [this, i] { PublishChange(i * 13 % 128); });
   }
-  EXPECT_LE(UntilInForce(100), 9s);
+  EXPECT_LE(TimeUntilInForce(100), 9s);
   EXPECT_LE(meter.store_calls(), 1000);
 }
 
--- a/testsuite/support/control/changes.h
+++ b/testsuite/support/control/changes.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Changes as the tests publish them.
+// Changes that the tests publish.
 
 #include <string>
 
@@ -8,7 +8,7 @@
 
 namespace ryefold::testing::control {
 
-/// One edit; an empty text deletes the key.
+/// Returns a change with one edit; an empty text deletes the key.
 inline core::configuration::Change ChangeOf(const std::string& id,
                                             const std::string& key,
                                             uint64_t base,
