--- a/src/include/ryefold/core/configuration/node.h
+++ b/src/include/ryefold/core/configuration/node.h
@@ -1,12 +1,13 @@
 #pragma once
 
-// One instance's share in keeping the operators' documents and the platform's
-// list of instances known everywhere.
 //
-// The store holds a log: the change that makes revision n is at the key
-// ChangeKey(n) and is created by one compare-and-swap that expects the key to
-// be absent. That single put decides acceptance and order, for any number of
-// documents. A few instances wait on the next key, all others hear from peers.
+// Replication of configuration documents and of the platform's instance list,
+// as a state machine that performs no I/O.
+//
+// The store holds a log. The change that creates revision n is stored under
+// ChangeKey(n) by one compare-and-swap that expects the key to be absent. This
+// single put determines acceptance and order for any number of documents. A few
+// instances watch the next key; all others learn changes from peers.
 
 #include <chrono>
 #include <cstdint>
@@ -24,14 +25,16 @@
 
 namespace ryefold::core::configuration {
 
-/// Names an operator's request or a peer's call towards whoever handed it in.
+/// Identifies a request of an operator or a peer to the code that submitted it.
 using Tag = uint64_t;
-/// Names a call to the store or to a peer; chosen by the node, never reused.
+/// Identifies a call to the store or to a peer; chosen by the node, never
+/// reused.
 using CallId = uint64_t;
 
-/// "ryefold/change/<revision>", padded so that keys sort by revision.
+/// Returns "ryefold/change/<revision>", zero-padded so that keys sort by
+/// revision.
 std::string ChangeKey(uint64_t revision);
-/// "ryefold/snapshot", the key of the SnapshotPointer.
+/// Returns "ryefold/snapshot", the key of the SnapshotPointer.
 std::string SnapshotKey();
 
 // ---- calls to the store ----
@@ -39,7 +42,8 @@
 struct StoreGet {
   std::string key;
 };
-/// Reads a key once its version is above `after`, or after `wait`.
+/// Reads a key as soon as its version is above `after`, at the latest after
+/// `wait`.
 struct StoreWatch {
   std::string key;
   uint64_t after = 0;
@@ -50,46 +54,48 @@
   StoreValue value;
   uint64_t expect = 0;
 };
-/// Reads the platform's list. A platform that can may answer shortly when its
-/// version is still `known_version`.
+/// Reads the platform's instance list. A platform may answer without members
+/// while the version is still `known_version`.
 struct StoreInstances {
   uint64_t known_version = 0;
 };
 using StoreRequest =
     std::variant<StoreGet, StoreWatch, StorePut, StoreInstances>;
 
-/// Answer to get and watch; version 0 when the key is absent.
+/// Answer to a get or watch; version 0 means that the key is absent.
 struct StoreRead {
   uint64_t version = 0;
   StoreValue value;
 };
-/// Answer to put: done, or refused because the version differs.
+/// Answer to a put. `done` is false if the key's version differs from the
+/// expected one.
 struct StorePutDone {
   bool done = false;
   uint64_t version = 0;
 };
 struct StoreInstancesRead {
   uint64_t version = 0;
-  /// The version is the known one; `members` is empty.
+  /// The version equals `known_version`; `members` is empty.
   bool unchanged = false;
   std::vector<membership::Member> members;
 };
 using StoreAnswer = std::variant<StoreRead, StorePutDone, StoreInstancesRead>;
 
-// ---- events: what the node is told ----
+// ---- events: input of the node ----
 
 struct Started {};
-/// The instance is going to stop: peers are told.
+/// The instance is about to stop; peers are notified.
 struct Leaving {};
 struct StoreAnswered {
   CallId call = 0;
   StoreAnswer answer;
 };
-/// No answer. A put may or may not have taken effect.
+/// The call failed or timed out. A put may or may not have taken effect.
 struct StoreFailed {
   CallId call = 0;
 };
-/// A peer's Exchange or ForceQuery; answered by ReplyToPeer with the tag.
+/// A peer's Exchange or ForceQuery. The node answers with a ReplyToPeer that
+/// carries the same tag.
 struct PeerCalled {
   Tag tag = 0;
   PeerRequest request;
@@ -105,12 +111,12 @@
   Tag tag = 0;
   Change change;
   TimePoint deadline;
-  /// The operator has sent this change id before and does not know what came
-  /// of it. That attempt may still be on its way to the store, so it is never
-  /// told that the change will not be in force.
+  /// The operator has sent this change id before and has not learned the
+  /// outcome. The earlier attempt may still reach the store, so a repeat never
+  /// ends with kUnavailable.
   bool repeat = false;
 };
-/// Asks once how many instances have `revision` in force.
+/// Requests the number of instances on which `revision` is in force.
 struct ForceArrived {
   Tag tag = 0;
   uint64_t revision = 0;
@@ -128,18 +134,19 @@
                            PeerCalled, PeerAnswered, PeerFailed, PublishArrived,
                            ForceArrived, HistoryArrived, Tick>;
 
-// ---- actions: what the node wants done ----
+// ---- actions: output of the node ----
 
-/// Answered by StoreAnswered or StoreFailed, the latter by `deadline`.
+/// Expects a StoreAnswered or, by `deadline`, a StoreFailed event.
 struct StoreCall {
   CallId call = 0;
   StoreRequest request;
   TimePoint deadline;
 };
-/// Answered by PeerAnswered or PeerFailed, the latter by `deadline`.
+/// Expects a PeerAnswered or, by `deadline`, a PeerFailed event.
 struct CallPeer {
   CallId call = 0;
-  /// Empty for a peer known by address only (`NodeOptions::seeds`).
+  /// Empty for a peer of which only the address is known
+  /// (`NodeOptions::seeds`).
   std::string instance;
   std::string address;
   PeerRequest request;
@@ -151,25 +158,29 @@
 };
 
 enum class PublishStatus : uint8_t {
-  /// In the store, and held by enough other instances to outlive this one.
+  /// The change is in the store and replicated to `min_holders` other
+  /// instances, or to all if there are fewer, so that it survives the loss of
+  /// this one.
   kAccepted,
-  /// Nothing of it is or will be in force.
+  /// No part of the change is or will be in force.
   kConflict,
-  /// Nothing of it is or will be in force, unless it is sent again; the store
-  /// could not be reached. Never said to a repeat.
+  /// The store could not be reached. No part of the change is or will be in
+  /// force unless it is sent again. Never returned for a repeat.
   kUnavailable,
-  /// It may be in the store, or it is there but too few instances are known
-  /// to hold it. Repeating the same change_id settles it.
+  /// The change may be in the store, or it is in the store but too few
+  /// instances are known to hold it. Repeating the same change_id determines
+  /// the outcome.
   kUnknown,
-  /// No edits, two edits of one key, or too large for the store; nothing of
-  /// it was tried.
+  /// The change has no edits, an empty id or key, or two edits of one key, or
+  /// is too large for the store. Nothing was sent to the store.
   kInvalid,
 };
 struct PublishDone {
   Tag tag = 0;
   PublishStatus status = PublishStatus::kUnknown;
   uint64_t revision = 0;
-  /// Instances known to hold it, this one included, of how many.
+  /// Number of instances known to hold the change, including this one, out of
+  /// `instances`.
   size_t held_by = 0;
   size_t instances = 0;
   std::vector<Conflict> conflicts;
@@ -179,22 +190,24 @@
   uint64_t revision = 0;
   size_t in_force = 0;
   size_t instances = 0;
-  /// Some of the names that are missing, at most a few dozen.
+  /// Names of instances that lack the revision or did not respond, at most a
+  /// few dozen.
   std::vector<std::string> missing;
 };
 struct HistoryDone {
   Tag tag = 0;
-  /// Newest first.
+  /// Newest entry first.
   std::vector<HistoryEntry> entries;
-  /// False when older entries exist but could not be read.
+  /// False if older entries exist but could not be read.
   bool complete = false;
 };
-/// Documents of `revision` are in force here; read them by `documents()`.
+/// The documents of `revision` are in force on this instance; `documents()`
+/// returns them.
 struct DocumentsChanged {
   uint64_t revision = 0;
   std::vector<std::string> keys;
 };
-/// The list, corrected by notices, has changed; read it by `members()`.
+/// The member list, with notices applied, has changed; `members()` returns it.
 struct MembersChanged {};
 
 using Action =
@@ -202,34 +215,37 @@
                  HistoryDone, DocumentsChanged, MembersChanged>;
 
 struct NodeOptions {
-  /// This instance, as the platform's list names it.
+  /// This instance, as it appears in the platform's list.
   membership::Member self;
-  /// Peer addresses to try while no list is known.
+  /// Peer addresses to contact while the member list is empty.
   std::vector<std::string> seeds;
-  /// Instances that wait on the store.
-  size_t watchers = 3;
-  /// Peers that one instance keeps links to, and how many of them hear of
-  /// news at once.
-  size_t neighbours = 8;
+  /// Number of instances that watch the store.
+  size_t watcher_count = 3;
+  /// Number of peers in the gossip overlay of one instance, and number of them
+  /// that receive an update at once.
+  size_t neighbour_count = 8;
   size_t fanout = 4;
-  /// Other instances that must hold a change before it is called accepted.
-  size_t holders = 2;
-  /// A snapshot is written after so many changes.
-  uint64_t snapshot_every = 256;
-  /// Bytes of documents in one block or snapshot part, before encoding.
-  size_t block_bytes = 256 << 10;
-  /// Largest change that is taken. The store holds values up to a megabyte,
-  /// and JSON in JSON grows by its escaped quotes.
-  size_t change_bytes = 400 << 10;
+  /// Number of other instances that must hold a change before it is reported as
+  /// accepted.
+  size_t min_holders = 2;
+  /// A snapshot is written after this number of changes.
+  uint64_t changes_per_snapshot = 256;
+  /// Maximum bytes of documents in one block or snapshot part, before encoding.
+  size_t max_block_bytes = 256 << 10;
+  /// Maximum bytes of a change. The store holds values up to one megabyte, and
+  /// a JSON text inside JSON grows by its escaped quotes.
+  size_t max_change_bytes = 400 << 10;
   std::chrono::milliseconds exchange_interval{1000};
   std::chrono::milliseconds list_interval{1000};
-  std::chrono::milliseconds watch_wait{10000};
+  std::chrono::milliseconds watch_timeout{10000};
   std::chrono::milliseconds store_timeout{2000};
   std::chrono::milliseconds peer_timeout{1000};
-  /// Silence of store and peers after which the node is not ready.
-  std::chrono::milliseconds silence{5000};
-  /// Rises from one run of an instance name to the next, so that a new run's
-  /// notices overrule its predecessor's; milliseconds of the wall clock do.
+  /// The node is not ready after this time without contact to the store or a
+  /// peer.
+  std::chrono::milliseconds contact_timeout{5000};
+  /// Increases with each start of an instance of this name, so that its notices
+  /// override those of the previous process. Milliseconds of the wall clock
+  /// satisfy this.
   uint64_t incarnation = 1;
   uint64_t seed = 1;
 };
@@ -239,7 +255,7 @@
   uint64_t revision = 0;
   uint64_t list_version = 0;
   bool ready = false;
-  /// Whether this instance waits on the store at present.
+  /// Whether this instance currently watches the store.
   bool watching = false;
   size_t documents = 0;
   size_t instances = 0;
@@ -250,7 +266,8 @@
   uint64_t peer_failures = 0;
 };
 
-/// State machine of one instance. Not thread-safe; owned by one task.
+/// Replicates configuration and membership on one instance. Not thread-safe;
+/// owned by one task.
 class Node {
  public:
   explicit Node(NodeOptions options);
@@ -258,20 +275,21 @@
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  /// Takes one event and appends what has to be done to `actions`.
+  /// Processes one event and appends the resulting actions to `actions`.
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions);
 
-  /// When `Tick` is due at the latest.
+  /// Returns the latest time for the next `Tick`.
   TimePoint next_deadline() const;
 
-  /// False while nothing is known, and when for some seconds neither store
-  /// nor any peer has been heard: what is in force can't be known then.
+  /// Returns whether the documents are known to be current. False until a
+  /// complete state is loaded, and after `contact_timeout` without contact to
+  /// the store or a peer.
   bool ready(TimePoint now) const;
 
   uint64_t revision() const;
-  /// All documents by key; deleted ones are there without text.
+  /// Returns all documents by key. Deleted ones are included without text.
   const std::map<std::string, Document>& documents() const;
-  /// The platform's list corrected by notices, in order of name.
+  /// Returns the platform's list with notices applied, ordered by name.
   std::vector<membership::Member> members() const;
   uint64_t list_version() const;
 
--- a/src/libcore/configuration/archive.h
+++ b/src/libcore/configuration/archive.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What is read from and written to the store besides the log's end: the
-// history of a key, snapshots, and the emptying of old changes.
+// Store access other than the end of the log: the history of a key, snapshots,
+// and the clearing of old changes.
 
 #include <algorithm>
 #include <cstdint>
@@ -13,18 +13,18 @@
 
 namespace ryefold::core::configuration {
 
-/// Walks from a key's last change to the ones before: each change names the
-/// version that it replaced.
-class History {
+/// Reads the history of a key backwards from its last change. Each change names
+/// the version that it replaced.
+class HistoryReader {
  public:
-  explicit History(Context* context) : context_(context) {}
+  explicit HistoryReader(Context* context) : context_(context) {}
 
-  void Arrived(TimePoint now, const HistoryArrived& request);
+  void HandleRequest(TimePoint now, const HistoryArrived& request);
   void Tick(TimePoint now);
   TimePoint next_deadline() const;
 
  private:
-  struct Walk {
+  struct Scan {
     Tag tag = 0;
     std::string key;
     size_t limit = 0;
@@ -32,51 +32,53 @@
     std::vector<HistoryEntry> entries;
   };
 
-  void Read(TimePoint now, uint64_t id, uint64_t version);
-  void Answered(TimePoint now, uint64_t id, uint64_t version,
-                const StoreAnswer* answer);
-  void Finish(uint64_t id, bool complete);
+  void ReadVersion(TimePoint now, uint64_t id, uint64_t version);
+  void HandleAnswer(TimePoint now, uint64_t id, uint64_t version,
+                    const StoreAnswer* answer);
+  void FinishScan(uint64_t id, bool complete);
 
   Context* context_;
-  std::map<uint64_t, Walk> walks_;
+  std::map<uint64_t, Scan> scans_;
   uint64_t next_id_ = 1;
 };
 
-/// Writes snapshots when this instance is the first of those that wait on the
-/// store, and empties changes that the one before last already covers. An
-/// emptied key keeps its version, so that a put which expects it absent still
-/// fails: were the key removed, an instance far behind could write a second
+/// Writes snapshots if this instance is the first in the order of store
+/// watchers, and clears changes that the previous snapshot already covers. A
+/// cleared key keeps its version, so that a put which expects it absent still
+/// fails: with a removed key, an instance far behind could write a second
 /// history.
 class SnapshotWriter {
  public:
   explicit SnapshotWriter(Context* context) : context_(context) {}
 
   void Tick(TimePoint now);
-  TimePoint next_deadline() const { return std::min(next_check_, next_empty_); }
+  TimePoint next_deadline() const {
+    return std::min(next_check_at_, next_clear_at_);
+  }
 
  private:
-  void Check(TimePoint now);
-  void PointerRead(TimePoint now, const StoreAnswer* answer);
+  void Start(TimePoint now);
+  void HandlePointer(TimePoint now, const StoreAnswer* answer);
   void WritePart(TimePoint now);
   void WritePointer(TimePoint now);
-  void PointerWritten(TimePoint now, const StoreAnswer* answer);
-  void ListEmptied();
-  void EmptyNext(TimePoint now);
+  void HandlePointerWritten(TimePoint now, const StoreAnswer* answer);
+  void ListObsoleteKeys();
+  void ClearNextKey(TimePoint now);
   void Stop(TimePoint now);
 
   Context* context_;
-  TimePoint next_check_;
-  TimePoint next_empty_ = TimePoint::max();
-  bool busy_ = false;
-  uint64_t last_known_ = 0;
-  /// What the store's pointer says, and its version.
-  SnapshotPointer old_;
+  TimePoint next_check_at_;
+  TimePoint next_clear_at_ = TimePoint::max();
+  bool writing_ = false;
+  uint64_t last_snapshot_revision_ = 0;
+  /// The pointer as last read from the store, and the version of its key.
+  SnapshotPointer old_pointer_;
   uint64_t pointer_version_ = 0;
-  SnapshotPointer new_;
+  SnapshotPointer new_pointer_;
   std::vector<std::vector<Document>> parts_;
   uint64_t next_part_ = 0;
-  /// Keys that the new snapshot makes superfluous, in reverse order.
-  std::vector<std::string> to_empty_;
+  /// Keys that the new snapshot makes obsolete, in reverse order of clearing.
+  std::vector<std::string> keys_to_clear_;
 };
 
 }  // namespace ryefold::core::configuration
--- a/src/libcore/configuration/census.cc
+++ b/src/libcore/configuration/census.cc
@@ -9,16 +9,16 @@
 
 using std::chrono::milliseconds;
 
-/// Most peers that one instance asks for one query.
-constexpr size_t kFanout = 32;
-/// A delegate first waits for those that it asks itself.
-constexpr int kDelegateFactor = 3;
-constexpr size_t kMissingListed = 32;
+/// Maximum number of peers that one instance queries for one request.
+constexpr size_t kMaxDelegates = 32;
+/// A delegate needs time for its own queries before it can reply.
+constexpr int kDelegateTimeoutFactor = 3;
+constexpr size_t kMaxMissingListed = 32;
 
 using Names = std::vector<std::string>;
 
-std::vector<Names> Chunks(const Names& names) {
-  const size_t count = std::min(kFanout, names.size());
+std::vector<Names> SplitNames(const Names& names) {
+  const size_t count = std::min(kMaxDelegates, names.size());
   std::vector<Names> chunks(count);
   for (size_t i = 0; i < names.size(); ++i) {
     chunks[i % count].push_back(names[i]);
@@ -32,50 +32,51 @@
 
 }  // namespace
 
-bool Census::InForceHere(uint64_t revision) const {
-  return context_->documents.known() &&
+bool InForceCounter::IsInForceHere(uint64_t revision) const {
+  return context_->documents.IsLoaded() &&
          context_->documents.revision() >= revision;
 }
 
-void Census::Arrived(TimePoint now, const ForceArrived& request) {
-  Names unheard;
-  uint64_t heard = 0;
-  for (const std::string& name : context_->others()) {
+void InForceCounter::HandleRequest(TimePoint now, const ForceArrived& request) {
+  Names unconfirmed;
+  uint64_t confirmed = 0;
+  for (const std::string& name : context_->other_instances()) {
     const auto peer = context_->peers.find(name);
     const bool holds = peer != context_->peers.end() &&
                        peer->second.revision >= request.revision;
-    holds ? ++heard : (unheard.push_back(name), heard);
+    holds ? ++confirmed : (unconfirmed.push_back(name), confirmed);
   }
-  const size_t instances = context_->others().size() + 1;
-  const bool here = InForceHere(request.revision);
-  const auto patience =
+  const size_t instances = context_->other_instances().size() + 1;
+  const bool here = IsInForceHere(request.revision);
+  const auto timeout =
       std::chrono::duration_cast<milliseconds>(request.deadline - now);
-  Begin(now, request.revision, unheard, patience,
-        [this, tag = request.tag, heard, here, instances,
-         revision = request.revision](TimePoint, const Result& result) {
-          ForceDone done;
-          done.tag = tag;
-          done.revision = revision;
-          done.in_force = result.in_force + heard + (here ? 1 : 0);
-          done.instances = instances;
-          done.missing = result.missing;
-          if (!here) done.missing.push_back(context_->options.self.name);
-          std::sort(done.missing.begin(), done.missing.end());
-          if (done.missing.size() > kMissingListed) {
-            done.missing.resize(kMissingListed);
-          }
-          context_->Emit(std::move(done));
-        });
+  StartRound(now, request.revision, unconfirmed, timeout,
+             [this, tag = request.tag, confirmed, here, instances,
+              revision = request.revision](TimePoint, const Result& result) {
+               ForceDone done;
+               done.tag = tag;
+               done.revision = revision;
+               done.in_force = result.in_force + confirmed + (here ? 1 : 0);
+               done.instances = instances;
+               done.missing = result.missing;
+               if (!here) done.missing.push_back(context_->options.self.name);
+               std::sort(done.missing.begin(), done.missing.end());
+               if (done.missing.size() > kMaxMissingListed) {
+                 done.missing.resize(kMaxMissingListed);
+               }
+               context_->Emit(std::move(done));
+             });
 }
 
-void Census::Query(TimePoint now, Tag tag, const ForceQuery& query) {
-  const milliseconds patience =
-      context_->options.peer_timeout * (kDelegateFactor - 1);
-  Begin(
-      now, query.revision, query.others, patience,
+void InForceCounter::HandleQuery(TimePoint now, Tag tag,
+                                 const ForceQuery& query) {
+  const milliseconds timeout =
+      context_->options.peer_timeout * (kDelegateTimeoutFactor - 1);
+  StartRound(
+      now, query.revision, query.others, timeout,
       [this, tag, revision = query.revision](TimePoint, const Result& result) {
         ForceReply reply{result.in_force, result.missing};
-        if (InForceHere(revision)) {
+        if (IsInForceHere(revision)) {
           ++reply.in_force;
         } else {
           reply.missing.push_back(context_->options.self.name);
@@ -84,19 +85,20 @@
       });
 }
 
-void Census::Begin(TimePoint now, uint64_t revision, const Names& names,
-                   milliseconds patience, Done done) {
+void InForceCounter::StartRound(TimePoint now, uint64_t revision,
+                                const Names& names, milliseconds timeout,
+                                RoundCallback done) {
   const uint64_t id = next_id_++;
   Round& round = rounds_[id];
   round.revision = revision;
-  round.deadline = now + patience;
+  round.deadline = now + timeout;
   round.done = std::move(done);
-  ++round.open;  // Held until all are asked: answers may come at once.
-  for (Names& chunk : Chunks(names)) Ask(now, id, std::move(chunk));
-  if (--round.open == 0) End(now, id);
+  ++round.outstanding;  // Replies may arrive during the loop.
+  for (Names& chunk : SplitNames(names)) QueryNext(now, id, std::move(chunk));
+  if (--round.outstanding == 0) FinishRound(now, id);
 }
 
-void Census::Ask(TimePoint now, uint64_t id, Names names) {
+void InForceCounter::QueryNext(TimePoint now, uint64_t id, Names names) {
   Round& round = rounds_.at(id);
   while (!names.empty()) {
     const std::string delegate = names.front();
@@ -109,27 +111,28 @@
     ForceQuery query;
     query.revision = round.revision;
     query.others.assign(std::next(names.begin()), names.end());
-    const uint64_t question = next_id_++;
-    round.asked.emplace(question, std::move(names));
-    ++round.open;
-    const milliseconds patience = context_->options.peer_timeout *
-                                  (query.others.empty() ? 1 : kDelegateFactor);
+    const uint64_t query_id = next_id_++;
+    round.queried.emplace(query_id, std::move(names));
+    ++round.outstanding;
+    const milliseconds timeout =
+        context_->options.peer_timeout *
+        (query.others.empty() ? 1 : kDelegateTimeoutFactor);
     context_->CallPeer(
         now, delegate, address, std::move(query),
-        [this, id, question](TimePoint when, const PeerAnswer* answer) {
-          Returned(when, id, question, answer);
+        [this, id, query_id](TimePoint when, const PeerAnswer* answer) {
+          HandleReply(when, id, query_id, answer);
         },
-        patience);
+        timeout);
     return;
   }
 }
 
-void Census::Returned(TimePoint now, uint64_t id, uint64_t question,
-                      const PeerAnswer* answer) {
+void InForceCounter::HandleReply(TimePoint now, uint64_t id, uint64_t query_id,
+                                 const PeerAnswer* answer) {
   const auto found = rounds_.find(id);
   if (found == rounds_.end()) return;
   Round& round = found->second;
-  Names names = std::move(round.asked.extract(question).mapped());
+  Names names = std::move(round.queried.extract(query_id).mapped());
   const auto* reply =
       answer == nullptr ? nullptr : std::get_if<ForceReply>(answer);
   if (reply != nullptr) {
@@ -138,30 +141,30 @@
   } else {
     round.result.missing.push_back(names.front());
     names.erase(names.begin());
-    Ask(now, id, std::move(names));
+    QueryNext(now, id, std::move(names));
   }
-  if (--round.open == 0) End(now, id);
+  if (--round.outstanding == 0) FinishRound(now, id);
 }
 
-void Census::End(TimePoint now, uint64_t id) {
+void InForceCounter::FinishRound(TimePoint now, uint64_t id) {
   const auto found = rounds_.find(id);
   Round round = std::move(found->second);
   rounds_.erase(found);
-  for (const auto& [question, names] : round.asked) {
+  for (const auto& [query_id, names] : round.queried) {
     Append(names, &round.result.missing);
   }
   round.done(now, round.result);
 }
 
-void Census::Tick(TimePoint now) {
+void InForceCounter::Tick(TimePoint now) {
   std::vector<uint64_t> due;
   for (const auto& [id, round] : rounds_) {
     if (round.deadline <= now) due.push_back(id);
   }
-  for (const uint64_t id : due) End(now, id);
+  for (const uint64_t id : due) FinishRound(now, id);
 }
 
-TimePoint Census::next_deadline() const {
+TimePoint InForceCounter::next_deadline() const {
   TimePoint next = TimePoint::max();
   for (const auto& [id, round] : rounds_) next = std::min(next, round.deadline);
   return next;
--- a/src/libcore/configuration/census.h
+++ b/src/libcore/configuration/census.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// Finds out on how many instances a revision is in force. Instances heard of
-// lately are not asked; a larger fleet is asked through delegates, so that
-// nobody asks more than a few dozen.
+// Counts the instances on which a revision is in force. Instances whose
+// revision is known from recent exchanges are not queried. In a large fleet
+// delegates query further instances, so that no instance sends more than a few
+// dozen queries.
 
 #include <cstdint>
 #include <functional>
@@ -14,14 +15,14 @@
 
 namespace ryefold::core::configuration {
 
-class Census {
+class InForceCounter {
  public:
-  explicit Census(Context* context) : context_(context) {}
+  explicit InForceCounter(Context* context) : context_(context) {}
 
-  /// An operator asks for the whole fleet.
-  void Arrived(TimePoint now, const ForceArrived& request);
-  /// A peer asks for itself and those that it names.
-  void Query(TimePoint now, Tag tag, const ForceQuery& query);
+  /// Handles an operator's request for the whole fleet.
+  void HandleRequest(TimePoint now, const ForceArrived& request);
+  /// Handles a peer's query for this instance and those named in the query.
+  void HandleQuery(TimePoint now, Tag tag, const ForceQuery& query);
   void Tick(TimePoint now);
   TimePoint next_deadline() const;
 
@@ -30,25 +31,26 @@
     uint64_t in_force = 0;
     std::vector<std::string> missing;
   };
-  using Done = std::function<void(TimePoint, const Result&)>;
+  using RoundCallback = std::function<void(TimePoint, const Result&)>;
   struct Round {
     uint64_t revision = 0;
-    size_t open = 0;
+    size_t outstanding = 0;
     Result result;
-    /// Names not yet accounted for, should the deadline come first.
-    std::map<CallId, std::vector<std::string>> asked;
+    /// Names without a reply so far, by query id. They count as missing at the
+    /// deadline.
+    std::map<CallId, std::vector<std::string>> queried;
     TimePoint deadline;
-    Done done;
+    RoundCallback done;
   };
 
-  void Begin(TimePoint now, uint64_t revision,
-             const std::vector<std::string>& names,
-             std::chrono::milliseconds patience, Done done);
-  void Ask(TimePoint now, uint64_t round, std::vector<std::string> names);
-  void Returned(TimePoint now, uint64_t round, uint64_t question,
-                const PeerAnswer* answer);
-  void End(TimePoint now, uint64_t round);
-  bool InForceHere(uint64_t revision) const;
+  void StartRound(TimePoint now, uint64_t revision,
+                  const std::vector<std::string>& names,
+                  std::chrono::milliseconds timeout, RoundCallback done);
+  void QueryNext(TimePoint now, uint64_t round, std::vector<std::string> names);
+  void HandleReply(TimePoint now, uint64_t round, uint64_t query_id,
+                   const PeerAnswer* answer);
+  void FinishRound(TimePoint now, uint64_t round);
+  bool IsInForceHere(uint64_t revision) const;
 
   Context* context_;
   std::map<uint64_t, Round> rounds_;
--- a/src/libcore/configuration/context.cc
+++ b/src/libcore/configuration/context.cc
@@ -13,11 +13,11 @@
 using membership::MemberKind;
 using membership::MemberState;
 
-constexpr std::chrono::seconds kAvoid{2};
-/// Changes of members within this time are applied together: when a region or
-/// the whole fleet restarts, hundreds of notices arrive in a second, and each
-/// time all groups' orders are worked out anew.
-constexpr std::chrono::milliseconds kMembersInterval{300};
+constexpr std::chrono::seconds kRetryDelay{2};
+/// Changes of members within this interval are applied together. When a region
+/// or the whole fleet restarts, hundreds of notices arrive within a second, and
+/// each application recomputes the keeper order of all groups.
+constexpr std::chrono::milliseconds kMemberUpdateInterval{300};
 
 uint64_t Hash(const std::string& a, const std::string& b) {
   const std::string joined = a + '\n' + b;
@@ -30,10 +30,10 @@
     : options(std::move(node_options)),
       random_(options.seed ^ Hash(options.self.name, "random")) {}
 
-void Context::CallStore(TimePoint now, StoreRequest request, StoreDone done,
-                        std::chrono::milliseconds patience) {
-  if (patience.count() == 0) patience = options.store_timeout;
-  TimePoint deadline = now + patience;
+void Context::CallStore(TimePoint now, StoreRequest request, StoreCallback done,
+                        std::chrono::milliseconds timeout) {
+  if (timeout.count() == 0) timeout = options.store_timeout;
+  TimePoint deadline = now + timeout;
   if (const auto* watch = std::get_if<StoreWatch>(&request)) {
     deadline += watch->wait;
   }
@@ -45,46 +45,46 @@
 
 void Context::CallPeer(TimePoint now, const std::string& name,
                        const std::string& address, PeerRequest request,
-                       PeerDone done, std::chrono::milliseconds patience) {
-  if (patience.count() == 0) patience = options.peer_timeout;
+                       PeerCallback done, std::chrono::milliseconds timeout) {
+  if (timeout.count() == 0) timeout = options.peer_timeout;
   const CallId call = next_call_++;
   peer_calls_.emplace(call, PeerPending{name, std::move(done)});
   ++counters.peer_calls;
   Emit(configuration::CallPeer{call, name, address, std::move(request),
-                               now + patience});
+                               now + timeout});
 }
 
-void Context::StoreReturned(TimePoint now, CallId call,
-                            const StoreAnswer* answer) {
+void Context::CompleteStoreCall(TimePoint now, CallId call,
+                                const StoreAnswer* answer) {
   const auto found = store_calls_.find(call);
   if (found == store_calls_.end()) return;
-  const StoreDone done = std::move(found->second);
+  const StoreCallback done = std::move(found->second);
   store_calls_.erase(found);
   if (answer != nullptr) {
-    store_heard = now;
-    store_seen = now;
+    last_store_contact = now;
+    last_fleet_store_contact = now;
   } else {
     ++counters.store_failures;
   }
   done(now, answer);
 }
 
-void Context::PeerReturned(TimePoint now, CallId call,
-                           const PeerAnswer* answer) {
+void Context::CompletePeerCall(TimePoint now, CallId call,
+                               const PeerAnswer* answer) {
   const auto found = peer_calls_.find(call);
   if (found == peer_calls_.end()) return;
   const PeerPending pending = std::move(found->second);
   peer_calls_.erase(found);
   if (answer == nullptr) {
     ++counters.peer_failures;
-    if (!pending.name.empty()) peers[pending.name].avoid_until = now + kAvoid;
+    if (!pending.name.empty()) peers[pending.name].retry_at = now + kRetryDelay;
   }
   pending.done(now, answer);
 }
 
-void Context::DocumentsApplied(const Documents::Keys& keys) {
+void Context::ReportChangedKeys(const Documents::Keys& keys) {
   if (keys.empty()) return;
-  news = true;
+  has_updates = true;
   Emit(DocumentsChanged{documents.revision(), keys});
 }
 
@@ -92,56 +92,57 @@
   if (apply_members_at_ > now) return;
   apply_members_at_ = TimePoint::max();
   members_applied_ = now;
-  auto all = members.merged();
-  news = true;
-  // Mostly a notice that the list has caught up with, or the reverse.
-  if (all == merged) return;
-  merged = std::move(all);
-  others_.clear();
+  auto all = members.MergedMembers();
+  has_updates = true;
+  // Often a notice and the list agree, and the merged list is unchanged.
+  if (all == merged_members) return;
+  merged_members = std::move(all);
+  other_instances_.clear();
   store_rank_ = 0;
-  const std::string duty = "store watch";
-  const uint64_t own = Hash(duty, options.self.name);
-  for (const auto& [name, member] : merged) {
+  const std::string watch_salt = "store watch";
+  const uint64_t own = Hash(watch_salt, options.self.name);
+  for (const auto& [name, member] : merged_members) {
     if (member.kind != MemberKind::kInstance || name == options.self.name ||
         member.state != MemberState::kLive) {
       continue;
     }
-    others_.push_back(name);
-    if (Hash(duty, name) > own) ++store_rank_;
+    other_instances_.push_back(name);
+    if (Hash(watch_salt, name) > own) ++store_rank_;
   }
-  std::erase_if(
-      peers, [this](const auto& peer) { return !merged.contains(peer.first); });
+  std::erase_if(peers, [this](const auto& peer) {
+    return !merged_members.contains(peer.first);
+  });
   ChooseNeighbours();
   Emit(MembersChanged{});
 }
 
-void Context::MembersTouched(TimePoint now) {
-  // The first list is applied at once: nothing works without it.
+void Context::ScheduleMemberUpdate(TimePoint now) {
+  // The first list is applied at once: no other part can work without it.
   const bool first = !list_applied_ && members.version() > 0;
   list_applied_ = list_applied_ || first;
-  const TimePoint due = first ? now : members_applied_ + kMembersInterval;
+  const TimePoint due = first ? now : members_applied_ + kMemberUpdateInterval;
   apply_members_at_ = std::min(apply_members_at_, std::max(now, due));
 }
 
 void Context::ChooseNeighbours() {
   std::set<std::string> chosen;
-  for (size_t ring = 0; ring < options.neighbours / 2; ++ring) {
+  for (size_t ring = 0; ring < options.neighbour_count / 2; ++ring) {
     const std::string salt = "ring" + std::to_string(ring);
     const uint64_t own = Hash(salt, options.self.name);
     const std::string* after = nullptr;
     const std::string* before = nullptr;
-    uint64_t way_after = 0;
-    uint64_t way_before = 0;
-    for (const std::string& name : others_) {
+    uint64_t distance_after = 0;
+    uint64_t distance_before = 0;
+    for (const std::string& name : other_instances_) {
       // Unsigned differences wrap around, which closes the ring.
-      const uint64_t way = Hash(salt, name) - own;
-      if (after == nullptr || way < way_after) {
+      const uint64_t distance = Hash(salt, name) - own;
+      if (after == nullptr || distance < distance_after) {
         after = &name;
-        way_after = way;
+        distance_after = distance;
       }
-      if (before == nullptr || way > way_before) {
+      if (before == nullptr || distance > distance_before) {
         before = &name;
-        way_before = way;
+        distance_before = distance;
       }
     }
     if (after != nullptr) chosen.insert({*after, *before});
@@ -150,46 +151,51 @@
 }
 
 std::string Context::AddressOf(const std::string& name) const {
-  const auto found = merged.find(name);
-  return found == merged.end() ? std::string() : found->second.peer_address;
+  const auto found = merged_members.find(name);
+  return found == merged_members.end() ? std::string()
+                                       : found->second.peer_address;
 }
 
-bool Context::Ready(TimePoint now) const {
-  if (!documents.known()) return false;
-  return now - std::max(peer_heard, store_heard) <= options.silence;
+bool Context::IsReady(TimePoint now) const {
+  if (!documents.IsLoaded()) return false;
+  return now - std::max(last_peer_contact, last_store_contact) <=
+         options.contact_timeout;
 }
 
-Standing Context::StandingNow(TimePoint now) const {
+Standing Context::CurrentSyncState(TimePoint now) const {
   Standing standing;
   standing.revision = documents.revision();
   standing.list_version = members.version();
-  standing.known = documents.known();
-  standing.ready = Ready(now);
-  standing.store_age =
-      std::chrono::duration_cast<std::chrono::milliseconds>(now - store_seen);
-  standing.have_documents = documents.have();
+  standing.known = documents.IsLoaded();
+  standing.ready = IsReady(now);
+  standing.store_age = std::chrono::duration_cast<std::chrono::milliseconds>(
+      now - last_fleet_store_contact);
+  standing.have_documents = documents.received_through();
   return standing;
 }
 
-void Context::Heard(TimePoint now, const std::string& name,
-                    const Standing& standing) {
-  // A new instance knows nothing itself: two that are cut off from all others,
-  // one old and one new, must not take each other for the fleet. Those that
-  // know something count even when not ready, or a fleet that had lost touch
-  // for a moment during an outage of the store would never be ready again.
-  if (standing.known) peer_heard = now;
-  store_seen = std::max(store_seen, now - standing.store_age);
+void Context::RecordPeerState(TimePoint now, const std::string& name,
+                              const Standing& standing) {
+  // A peer without a complete state does not count as contact: an outdated and
+  // a new instance that are both isolated from all others would otherwise
+  // consider each other ready. A peer that has one counts even if it is not
+  // ready; otherwise a fleet that lost contact briefly during a store outage
+  // could never become ready again.
+  if (standing.known) last_peer_contact = now;
+  last_fleet_store_contact =
+      std::max(last_fleet_store_contact, now - standing.store_age);
   if (!name.empty()) peers[name].revision = standing.revision;
-  // A peer that does not know what is in force itself can't vouch for an
-  // empty or old state; one that does, at our revision, confirms ours.
+  // Only a ready peer can confirm an empty or old state. A ready peer at the
+  // same revision confirms the local state.
   if (standing.ready && standing.revision == documents.revision()) {
-    documents.MarkKnown();
+    documents.MarkLoaded();
   }
 }
 
-std::chrono::milliseconds Context::Jitter(std::chrono::milliseconds length) {
+std::chrono::milliseconds Context::WithJitter(
+    std::chrono::milliseconds length) {
   const auto half = static_cast<uint64_t>(length.count() / 2);
-  return length / 2 + std::chrono::milliseconds(Random(half + 1));
+  return length / 2 + std::chrono::milliseconds(RandomBelow(half + 1));
 }
 
 }  // namespace ryefold::core::configuration
--- a/src/libcore/configuration/documents.cc
+++ b/src/libcore/configuration/documents.cc
@@ -38,7 +38,8 @@
 Documents::Keys Documents::Replace(uint64_t revision,
                                    const std::vector<Document>& documents) {
   Keys changed;
-  // A lower revision would bring back what operators have since replaced.
+  // A lower revision would restore documents that operators have since
+  // replaced.
   if (revision <= revision_) return changed;
   for (const Document& document : documents) {
     if (Put(document)) changed.push_back(document.key);
@@ -47,19 +48,21 @@
   return changed;
 }
 
-DocumentBlock Documents::Since(uint64_t version, size_t max_bytes) const {
+DocumentBlock Documents::ChangesSince(uint64_t version,
+                                      size_t max_bytes) const {
   DocumentBlock block;
   block.after = version;
   block.through = version;
   size_t bytes = 0;
   auto next = by_version_.lower_bound({version + 1, std::string()});
   while (next != by_version_.end()) {
-    // One version is never cut in two: its edits belong together.
+    // A version is never split across blocks, because its edits take effect
+    // atomically.
     if (bytes >= max_bytes && next->first != block.through) return block;
     const Document& document = documents_.at(next->second);
     block.documents.push_back(document);
     block.through = next->first;
-    bytes += SizeOf(document);
+    bytes += EstimateSize(document);
     ++next;
   }
   block.through = std::max(version, revision_);
@@ -67,49 +70,50 @@
   return block;
 }
 
-uint64_t Documents::have() const {
+uint64_t Documents::received_through() const {
   return std::max(revision_, staged_through_);
 }
 
 void Documents::DropStaged() {
   staged_.clear();
   staged_through_ = 0;
-  staged_target_ = 0;
+  staged_revision_ = 0;
 }
 
 Documents::Keys Documents::Merge(uint64_t sender_revision,
                                  const DocumentBlock& block) {
   Keys changed;
-  const bool news = block.through > have() || (block.complete && !known_);
-  if (!news || block.after > have()) return changed;
+  const bool adds_data =
+      block.through > received_through() || (block.complete && !loaded_);
+  if (!adds_data || block.after > received_through()) return changed;
   if (staged_through_ < revision_) DropStaged();
   staged_.insert(staged_.end(), block.documents.begin(), block.documents.end());
   staged_through_ = block.through;
-  staged_target_ = std::max(staged_target_, sender_revision);
-  if (!block.complete || sender_revision < staged_target_) return changed;
+  staged_revision_ = std::max(staged_revision_, sender_revision);
+  if (!block.complete || sender_revision < staged_revision_) return changed;
   changed = Replace(sender_revision, staged_);
-  known_ = true;
+  loaded_ = true;
   DropStaged();
   return changed;
 }
 
-size_t SizeOf(const Document& document) {
+size_t EstimateSize(const Document& document) {
   constexpr size_t kOverhead = 96;
   const size_t text = document.text ? document.text->size() : 0;
   return kOverhead + document.key.size() + document.author.size() + text;
 }
 
-std::vector<std::vector<Document>> Split(
+std::vector<std::vector<Document>> SplitIntoParts(
     const std::map<std::string, Document>& documents, size_t max_bytes) {
   std::vector<std::vector<Document>> parts(1);
   size_t bytes = 0;
   for (const auto& [key, document] : documents) {
-    if (bytes > 0 && bytes + SizeOf(document) > max_bytes) {
+    if (bytes > 0 && bytes + EstimateSize(document) > max_bytes) {
       parts.emplace_back();
       bytes = 0;
     }
     parts.back().push_back(document);
-    bytes += SizeOf(document);
+    bytes += EstimateSize(document);
   }
   return parts;
 }
--- a/src/libcore/configuration/documents.h
+++ b/src/libcore/configuration/documents.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The replicated documents of one instance, at one revision.
+// The replicated documents of one instance at one revision.
 
 #include <cstdint>
 #include <map>
@@ -18,52 +18,57 @@
  public:
   using Keys = std::vector<std::string>;
 
-  /// False until a whole state, possibly an empty one, has been learned.
-  bool known() const { return known_; }
-  void MarkKnown() { known_ = true; }
+  /// False until a complete state, possibly an empty one, is loaded or
+  /// confirmed.
+  bool IsLoaded() const { return loaded_; }
+  void MarkLoaded() { loaded_ = true; }
   uint64_t revision() const { return revision_; }
   const std::map<std::string, Document>& all() const { return documents_; }
   uint64_t VersionOf(const std::string& key) const;
 
   /// Applies the change of revision `revision() + 1`; any other revision is
-  /// left alone. Returns the keys that changed.
+  /// ignored. Returns the keys that changed.
   Keys Apply(uint64_t revision, const Change& change);
-  /// Puts a snapshot in place if its revision is higher.
+  /// Merges a snapshot if its revision is higher. Returns the keys that
+  /// changed.
   Keys Replace(uint64_t revision, const std::vector<Document>& documents);
 
-  /// Documents above `version`, at least one and about `max_bytes`.
-  DocumentBlock Since(uint64_t version, size_t max_bytes) const;
-  /// Takes a block from a peer at `sender_revision`. Nothing comes into force
-  /// before the state is whole.
+  /// Returns a block of the documents above `version`, of about `max_bytes` but
+  /// with at least one version.
+  DocumentBlock ChangesSince(uint64_t version, size_t max_bytes) const;
+  /// Stages a block of a peer at `sender_revision`. Documents take effect only
+  /// once the state is complete. Returns the keys that changed.
   Keys Merge(uint64_t sender_revision, const DocumentBlock& block);
-  /// Everything up to this version is here, in force or kept aside.
-  uint64_t have() const;
-  bool staging() const { return staged_through_ > revision_; }
-  /// Forgets what is kept aside. The peer that could complete it may be gone,
-  /// and the others have nothing newer to send.
+  /// Returns the version up to which all documents are present, applied or
+  /// staged.
+  uint64_t received_through() const;
+  bool IsStaging() const { return staged_through_ > revision_; }
+  /// Discards staged documents. The peer that could complete them may have
+  /// stopped, and the others may have no newer documents to send.
   void DropStaged();
 
  private:
   bool Put(const Document& document);
 
-  bool known_ = false;
+  bool loaded_ = false;
   uint64_t revision_ = 0;
   std::map<std::string, Document> documents_;
   std::set<std::pair<uint64_t, std::string>> by_version_;
 
   std::vector<Document> staged_;
   uint64_t staged_through_ = 0;
-  /// Highest revision of a peer that has sent any of what is staged. A block
-  /// from one further behind can't complete the state: documents that the
-  /// first had already seen overwritten would be missing.
-  uint64_t staged_target_ = 0;
+  /// Highest revision of the peers that sent staged documents. A block of a
+  /// peer with a lower revision cannot complete the state: documents that the
+  /// first peer omitted because they had been overwritten would be missing.
+  uint64_t staged_revision_ = 0;
 };
 
-/// Rough size of a document in a message or in the store.
-size_t SizeOf(const Document& document);
+/// Returns the approximate size of a document in a message or in the store, in
+/// bytes.
+size_t EstimateSize(const Document& document);
 
-/// Cuts documents into parts of about `max_bytes`.
-std::vector<std::vector<Document>> Split(
+/// Splits documents into parts of about `max_bytes`.
+std::vector<std::vector<Document>> SplitIntoParts(
     const std::map<std::string, Document>& documents, size_t max_bytes);
 
 }  // namespace ryefold::core::configuration
--- a/src/libcore/configuration/follower.cc
+++ b/src/libcore/configuration/follower.cc
@@ -9,24 +9,26 @@
 
 constexpr milliseconds kFirstBackoff{250};
 constexpr milliseconds kMaxBackoff{4000};
-/// Time that peers are given before a new instance reads the store itself.
-/// Later in rank waits longer: in a cold start of the whole fleet the first
-/// ones read and all others hear from them.
-constexpr milliseconds kPeersFirst{800};
-constexpr milliseconds kPerRank{50};
-/// Without word of the store for this long the circle of those that wait on
-/// it widens, since all of them may be gone while the list still names them.
-constexpr milliseconds kWidenAfter{15000};
-constexpr milliseconds kWidenStep{2000};
-constexpr size_t kWidenMost = 13;
-constexpr std::chrono::minutes kWidenHold{5};
-/// Silence of all peers after which an instance asks the store for itself.
-constexpr milliseconds kAlone{3000};
-/// The first in order reads the list at each interval, the other watchers
-/// every so many, in case the first is gone.
+/// Time that a new instance waits for the state of a peer before it reads the
+/// store. The delay grows with the rank: on a cold start of the whole fleet the
+/// first instances read the store and the others receive the state from them.
+constexpr milliseconds kLoadDelay{800};
+constexpr milliseconds kLoadDelayPerRank{50};
+/// After this time without a known response of the store, more instances watch
+/// it, because all current watchers may have failed while the list still
+/// contains them.
+constexpr milliseconds kExtendAfter{15000};
+constexpr milliseconds kExtendStep{2000};
+constexpr size_t kMaxExtraWatchers = 13;
+constexpr std::chrono::minutes kExtensionHold{5};
+/// Time without contact to any peer after which an instance reads the store
+/// itself.
+constexpr milliseconds kPeerContactTimeout{3000};
+/// The first watcher reads the list at each interval, the others at this
+/// multiple of it in case the first one has failed.
 constexpr int kSecondaryListFactor = 3;
 
-const StoreRead* ReadOf(const StoreAnswer* answer) {
+const StoreRead* AsStoreRead(const StoreAnswer* answer) {
   return answer == nullptr ? nullptr : std::get_if<StoreRead>(answer);
 }
 
@@ -35,81 +37,81 @@
 void Follower::Start(TimePoint now) {
   next_watch_ = now;
   next_list_ = now;
-  load_at_ =
-      now + kPeersFirst + kPerRank * static_cast<int>(context_->StoreRank());
+  load_at_ = now + kLoadDelay +
+             kLoadDelayPerRank * static_cast<int>(context_->StoreRank());
 }
 
 TimePoint Follower::next_deadline() const {
   TimePoint next = TimePoint::max();
   if (!watching_) next = std::min(next, next_watch_);
   if (!listing_) next = std::min(next, next_list_);
-  if (!loading_ && !context_->documents.known()) {
+  if (!loading_ && !context_->documents.IsLoaded()) {
     next = std::min(next, load_at_);
   }
   return next;
 }
 
-bool Follower::OnDuty(TimePoint now) const {
-  if (now - context_->peer_heard > kAlone) return true;
-  if (now < duty_until_) return true;
-  return context_->StoreRank() < context_->options.watchers;
+bool Follower::IsStoreWatcher(TimePoint now) const {
+  if (now - context_->last_peer_contact > kPeerContactTimeout) return true;
+  if (now < watch_until_) return true;
+  return context_->StoreRank() < context_->options.watcher_count;
 }
 
-void Follower::Widen(TimePoint now) {
-  const auto age = now - context_->store_seen;
-  const bool grown = now - context_->started > kWidenAfter;
-  if (age <= kWidenAfter || !grown) return;
-  const auto steps = static_cast<size_t>((age - kWidenAfter) / kWidenStep);
-  const size_t circle =
-      context_->options.watchers + std::min(kWidenMost, steps + 1);
-  // Held for a while: the first answer makes the silence look over, though
-  // nobody else waits on the store yet.
-  if (context_->StoreRank() < circle) duty_until_ = now + kWidenHold;
+void Follower::ExtendWatchers(TimePoint now) {
+  const auto age = now - context_->last_fleet_store_contact;
+  const bool started_long_ago = now - context_->started_at > kExtendAfter;
+  if (age <= kExtendAfter || !started_long_ago) return;
+  const auto steps = static_cast<size_t>((age - kExtendAfter) / kExtendStep);
+  const size_t watchers =
+      context_->options.watcher_count + std::min(kMaxExtraWatchers, steps + 1);
+  // The extension lasts for a fixed time: the first response of the store
+  // resets the age although no other instance watches the store yet.
+  if (context_->StoreRank() < watchers) watch_until_ = now + kExtensionHold;
 }
 
 void Follower::Tick(TimePoint now) {
-  Widen(now);
-  const bool duty = OnDuty(now);
+  ExtendWatchers(now);
+  const bool is_watcher = IsStoreWatcher(now);
   if (!listing_ && next_list_ <= now) {
-    if (duty || context_->members.version() == 0) {
+    if (is_watcher || context_->members.version() == 0) {
       ReadList(now);
     } else {
       next_list_ = now + context_->options.list_interval;
     }
   }
   if (!watching_ && next_watch_ <= now) {
-    if (duty && context_->documents.known()) {
+    if (is_watcher && context_->documents.IsLoaded()) {
       Watch(now);
     } else {
       next_watch_ = now + context_->options.list_interval;
     }
   }
-  const bool load = !context_->documents.known() && load_at_ <= now;
-  if (load || context_->far_behind) Load(now);
-  context_->far_behind = false;
+  const bool load = !context_->documents.IsLoaded() && load_at_ <= now;
+  if (load || context_->needs_snapshot) LoadState(now);
+  context_->needs_snapshot = false;
 }
 
-void Follower::Backoff(TimePoint now) {
+void Follower::BackOff(TimePoint now) {
   backoff_ = std::clamp(backoff_ * 2, kFirstBackoff, kMaxBackoff);
-  next_watch_ = now + context_->Jitter(backoff_);
+  next_watch_ = now + context_->WithJitter(backoff_);
 }
 
 void Follower::Watch(TimePoint now) {
   const uint64_t revision = context_->documents.revision() + 1;
   watching_ = true;
   context_->CallStore(
-      now, StoreWatch{ChangeKey(revision), 0, context_->options.watch_wait},
+      now, StoreWatch{ChangeKey(revision), 0, context_->options.watch_timeout},
       [this, revision](TimePoint when, const StoreAnswer* answer) {
-        Watched(when, revision, answer);
+        HandleWatchAnswer(when, revision, answer);
       });
 }
 
-void Follower::Watched(TimePoint now, uint64_t revision,
-                       const StoreAnswer* answer) {
+void Follower::HandleWatchAnswer(TimePoint now, uint64_t revision,
+                                 const StoreAnswer* answer) {
   watching_ = false;
-  const StoreRead* read = ReadOf(answer);
+  const StoreRead* read = AsStoreRead(answer);
   if (read == nullptr) {
-    Backoff(now);
+    BackOff(now);
     return;
   }
   backoff_ = milliseconds(0);
@@ -117,12 +119,12 @@
   if (read->version == 0) return;
   const auto* change = std::get_if<Change>(&read->value);
   if (change != nullptr) {
-    context_->DocumentsApplied(context_->documents.Apply(revision, *change));
+    context_->ReportChangedKeys(context_->documents.Apply(revision, *change));
   } else if (revision == context_->documents.revision() + 1) {
-    // Emptied, or written by a version that we can't read: only a whole
-    // state brings us on.
+    // The change has been cleared, or was written by a newer version in an
+    // unreadable format. Only a complete state advances this instance.
     next_watch_ = now + kFirstBackoff;
-    Load(now);
+    LoadState(now);
   }
 }
 
@@ -130,11 +132,11 @@
   listing_ = true;
   context_->CallStore(now, StoreInstances{context_->members.version()},
                       [this](TimePoint when, const StoreAnswer* answer) {
-                        ListRead(when, answer);
+                        HandleList(when, answer);
                       });
 }
 
-void Follower::ListRead(TimePoint now, const StoreAnswer* answer) {
+void Follower::HandleList(TimePoint now, const StoreAnswer* answer) {
   listing_ = false;
   milliseconds interval = context_->options.list_interval;
   if (context_->StoreRank() > 0) interval *= kSecondaryListFactor;
@@ -144,28 +146,28 @@
   if (list == nullptr || list->unchanged) return;
   const bool first = context_->members.version() == 0;
   if (context_->members.Replace(list->version, list->members) || first) {
-    context_->MembersTouched(now);
+    context_->ScheduleMemberUpdate(now);
   }
 }
 
-void Follower::Load(TimePoint now) {
+void Follower::LoadState(TimePoint now) {
   if (loading_) return;
   loading_ = true;
   context_->CallStore(now, StoreGet{SnapshotKey()},
                       [this](TimePoint when, const StoreAnswer* answer) {
-                        PointerRead(when, answer);
+                        HandlePointer(when, answer);
                       });
 }
 
-void Follower::LoadFailed(TimePoint now) {
+void Follower::ScheduleReload(TimePoint now) {
   loading_ = false;
-  load_at_ = now + context_->Jitter(kPeersFirst * 2);
+  load_at_ = now + context_->WithJitter(kLoadDelay * 2);
 }
 
-void Follower::PointerRead(TimePoint now, const StoreAnswer* answer) {
-  const StoreRead* read = ReadOf(answer);
+void Follower::HandlePointer(TimePoint now, const StoreAnswer* answer) {
+  const StoreRead* read = AsStoreRead(answer);
   if (read == nullptr) {
-    LoadFailed(now);
+    ScheduleReload(now);
     return;
   }
   const auto* pointer = std::get_if<SnapshotPointer>(&read->value);
@@ -173,7 +175,7 @@
   parts_.clear();
   next_part_ = 0;
   if (pointer_.revision <= context_->documents.revision()) {
-    ReadNext(now);
+    ReadNextChange(now);
   } else {
     ReadPart(now);
   }
@@ -181,25 +183,25 @@
 
 void Follower::ReadPart(TimePoint now) {
   if (next_part_ == pointer_.parts) {
-    context_->DocumentsApplied(
+    context_->ReportChangedKeys(
         context_->documents.Replace(pointer_.revision, parts_));
     parts_.clear();
-    ReadNext(now);
+    ReadNextChange(now);
     return;
   }
   context_->CallStore(
       now, StoreGet{pointer_.prefix + "/" + std::to_string(next_part_)},
       [this](TimePoint when, const StoreAnswer* answer) {
-        PartRead(when, answer);
+        HandlePart(when, answer);
       });
 }
 
-void Follower::PartRead(TimePoint now, const StoreAnswer* answer) {
-  const StoreRead* read = ReadOf(answer);
+void Follower::HandlePart(TimePoint now, const StoreAnswer* answer) {
+  const StoreRead* read = AsStoreRead(answer);
   const auto* part =
       read == nullptr ? nullptr : std::get_if<SnapshotPart>(&read->value);
   if (part == nullptr) {
-    LoadFailed(now);
+    ScheduleReload(now);
     return;
   }
   parts_.insert(parts_.end(), part->documents.begin(), part->documents.end());
@@ -207,8 +209,8 @@
   ReadPart(now);
 }
 
-void Follower::ReadNext(TimePoint now) {
-  if (context_->documents.known()) {
+void Follower::ReadNextChange(TimePoint now) {
+  if (context_->documents.IsLoaded()) {
     loading_ = false;
     next_watch_ = now;
     return;
@@ -217,30 +219,30 @@
   context_->CallStore(
       now, StoreGet{ChangeKey(revision)},
       [this, revision](TimePoint when, const StoreAnswer* answer) {
-        NextRead(when, revision, answer);
+        HandleNextChange(when, revision, answer);
       });
 }
 
-void Follower::NextRead(TimePoint now, uint64_t revision,
-                        const StoreAnswer* answer) {
-  const StoreRead* read = ReadOf(answer);
+void Follower::HandleNextChange(TimePoint now, uint64_t revision,
+                                const StoreAnswer* answer) {
+  const StoreRead* read = AsStoreRead(answer);
   if (read == nullptr) {
-    LoadFailed(now);
+    ScheduleReload(now);
     return;
   }
   if (read->version == 0) {
     loading_ = false;
     next_watch_ = now;
-    context_->documents.MarkKnown();
+    context_->documents.MarkLoaded();
     return;
   }
   const auto* change = std::get_if<Change>(&read->value);
   if (change == nullptr) {
-    LoadFailed(now);
+    ScheduleReload(now);
     return;
   }
-  context_->DocumentsApplied(context_->documents.Apply(revision, *change));
-  ReadNext(now);
+  context_->ReportChangedKeys(context_->documents.Apply(revision, *change));
+  ReadNextChange(now);
 }
 
 }  // namespace ryefold::core::configuration
--- a/src/libcore/configuration/follower.h
+++ b/src/libcore/configuration/follower.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Reads the store: waits for the next change, reads a whole state when peers
-// can't give one, fetches the platform's list.
+// Reads the store: watches for the next change, loads a complete state if no
+// peer provides one, and reads the platform's list.
 
 #include <string>
 #include <vector>
@@ -17,24 +17,26 @@
   void Start(TimePoint now);
   void Tick(TimePoint now);
   TimePoint next_deadline() const;
-  /// Whether this instance is one of those that wait on the store.
-  bool OnDuty(TimePoint now) const;
-  /// Reads the newest snapshot; the changes after it follow by themselves.
-  void Load(TimePoint now);
+  /// Returns whether this instance is one of those that watch the store.
+  bool IsStoreWatcher(TimePoint now) const;
+  /// Loads the newest snapshot. The watch provides the changes after it.
+  void LoadState(TimePoint now);
 
  private:
-  void Widen(TimePoint now);
+  void ExtendWatchers(TimePoint now);
   void Watch(TimePoint now);
-  void Watched(TimePoint now, uint64_t revision, const StoreAnswer* answer);
+  void HandleWatchAnswer(TimePoint now, uint64_t revision,
+                         const StoreAnswer* answer);
   void ReadList(TimePoint now);
-  void ListRead(TimePoint now, const StoreAnswer* answer);
-  void PointerRead(TimePoint now, const StoreAnswer* answer);
+  void HandleList(TimePoint now, const StoreAnswer* answer);
+  void HandlePointer(TimePoint now, const StoreAnswer* answer);
   void ReadPart(TimePoint now);
-  void PartRead(TimePoint now, const StoreAnswer* answer);
-  void ReadNext(TimePoint now);
-  void NextRead(TimePoint now, uint64_t revision, const StoreAnswer* answer);
-  void LoadFailed(TimePoint now);
-  void Backoff(TimePoint now);
+  void HandlePart(TimePoint now, const StoreAnswer* answer);
+  void ReadNextChange(TimePoint now);
+  void HandleNextChange(TimePoint now, uint64_t revision,
+                        const StoreAnswer* answer);
+  void ScheduleReload(TimePoint now);
+  void BackOff(TimePoint now);
 
   Context* context_;
   bool watching_ = false;
@@ -42,9 +44,9 @@
   bool loading_ = false;
   TimePoint next_watch_ = TimePoint::max();
   TimePoint next_list_ = TimePoint::max();
-  /// When a whole state is read from the store unless peers gave one.
+  /// When to load a complete state from the store if no peer has provided one.
   TimePoint load_at_ = TimePoint::max();
-  TimePoint duty_until_;
+  TimePoint watch_until_;
   std::chrono::milliseconds backoff_{0};
   SnapshotPointer pointer_;
   uint64_t next_part_ = 0;
--- a/src/libcore/configuration/gossip.cc
+++ b/src/libcore/configuration/gossip.cc
@@ -8,155 +8,162 @@
 
 using std::chrono::milliseconds;
 
-/// News that arrives within this time is passed on together, which bounds
-/// the messages of a burst of changes.
+/// Updates within this interval are pushed together, which bounds the number of
+/// messages in a burst of changes.
 constexpr milliseconds kPushInterval{50};
-/// One exchange in so many goes to any instance instead of a neighbour, so
-/// that no fault in the choice of neighbours can split the fleet for good.
-constexpr uint64_t kFarRounds = 16;
-/// The time that one peer is given to send documents before another one is
-/// asked, as a share of the time that a call may take.
-constexpr int kFetchShare = 3;
-/// Exchanges between two notices of an instance that the list leaves out.
-constexpr uint64_t kRenewRounds = 60;
-/// How often in a row a peer's exchange may stand for an own one.
-constexpr int kMostPostponed = 2;
-/// While nothing is known, peers are asked this much more often.
-constexpr int kHurry = 8;
-/// Copies of a notice that one instance passes on.
-constexpr size_t kNoticesAtOnce = 32;
+/// One exchange in this number goes to any instance instead of a neighbour, so
+/// that a fault in the selection of neighbours cannot partition the fleet
+/// permanently.
+constexpr uint64_t kRandomPeerRounds = 16;
+/// Fraction (1/n) of the call timeout that one peer has to send documents
+/// before another peer is asked.
+constexpr int kFetchTimeoutDivisor = 3;
+/// Number of exchanges after which an instance that the list omits renews its
+/// notice.
+constexpr uint64_t kNoticeRenewalRounds = 60;
+/// Maximum number of consecutive own exchanges that a peer's exchange may
+/// replace.
+constexpr int kMaxPostponements = 2;
+/// Factor by which exchanges are more frequent until a state is loaded.
+constexpr int kUnloadedRateFactor = 8;
+/// Maximum number of notices that wait to be forwarded.
+constexpr size_t kMaxPendingNotices = 32;
 
 }  // namespace
 
 void Gossip::Start(TimePoint now) {
   next_exchange_ = now;
-  Announce(now, context_->options.self.state);
+  AnnounceSelf(now, context_->options.self.state);
 }
 
-void Gossip::Announce(TimePoint now, membership::MemberState state) {
+void Gossip::AnnounceSelf(TimePoint now, membership::MemberState state) {
   Notice notice;
   notice.member = context_->options.self;
   notice.member.state = state;
-  notice.sequence = context_->options.incarnation + own_sequence_++;
-  announced_ = notice.member;
-  context_->members.Take(now, notice);
+  notice.sequence = context_->options.incarnation + notice_count_++;
+  announced_member_ = notice.member;
+  context_->members.ApplyNotice(now, notice);
   notices_.push_back(notice);
-  context_->MembersTouched(now);
+  context_->ScheduleMemberUpdate(now);
 }
 
-void Gossip::NewsSoon(TimePoint now) {
-  push_at_ = std::min(push_at_, std::max(now, last_push_ + kPushInterval));
+void Gossip::SchedulePush(TimePoint now) {
+  next_push_ = std::min(next_push_, std::max(now, last_push_ + kPushInterval));
 }
 
 TimePoint Gossip::next_deadline() const {
-  const TimePoint fetch = fetch_next_.empty() ? TimePoint::max() : fetch_until_;
-  return std::min({next_exchange_, push_at_, fetch});
+  const TimePoint fetch =
+      next_fetch_peer_.empty() ? TimePoint::max() : fetch_deadline_;
+  return std::min({next_exchange_, next_push_, fetch});
 }
 
-std::vector<std::string> Gossip::Choose(TimePoint now, size_t count,
-                                        uint64_t revision) {
-  const auto lacks = [&](const std::string& name) {
+std::vector<std::string> Gossip::ChoosePeers(TimePoint now, size_t count,
+                                             uint64_t revision) {
+  const auto needs_update = [&](const std::string& name) {
     const auto peer = context_->peers.find(name);
     if (peer == context_->peers.end()) return true;
-    return peer->second.avoid_until <= now && peer->second.revision < revision;
+    return peer->second.retry_at <= now && peer->second.revision < revision;
   };
-  std::vector<std::string> able;
+  std::vector<std::string> candidates;
   for (const std::string& name : context_->neighbours()) {
-    if (lacks(name)) able.push_back(name);
+    if (needs_update(name)) candidates.push_back(name);
   }
   std::vector<std::string> chosen;
-  while (chosen.size() < count && !able.empty()) {
-    const size_t at = context_->Random(able.size());
-    chosen.push_back(able[at]);
-    able.erase(able.begin() + static_cast<ptrdiff_t>(at));
+  while (chosen.size() < count && !candidates.empty()) {
+    const size_t at = context_->RandomBelow(candidates.size());
+    chosen.push_back(candidates[at]);
+    candidates.erase(candidates.begin() + static_cast<ptrdiff_t>(at));
   }
   return chosen;
 }
 
-Exchange Gossip::Compose(TimePoint now, const std::string& name) {
+Exchange Gossip::MakeExchange(TimePoint now, const std::string& name) {
   Exchange exchange;
   exchange.from = context_->options.self.name;
-  exchange.standing = context_->StandingNow(now);
+  exchange.standing = context_->CurrentSyncState(now);
   exchange.standing.want_documents =
-      fetch_until_ <= now || fetch_from_.empty() || fetch_from_ == name;
+      fetch_deadline_ <= now || fetch_peer_.empty() || fetch_peer_ == name;
   exchange.standing.want_members = true;
   return exchange;
 }
 
 void Gossip::Tick(TimePoint now) {
-  if (!fetch_next_.empty() && fetch_until_ <= now) FetchElsewhere(now);
-  if (push_at_ <= now) Push(now);
-  if (next_exchange_ <= now) ExchangeWithOne(now);
+  if (!next_fetch_peer_.empty() && fetch_deadline_ <= now) FetchFromNext(now);
+  if (next_push_ <= now) PushUpdates(now);
+  if (next_exchange_ <= now) ExchangeWithRandomPeer(now);
 }
 
-void Gossip::Push(TimePoint now) {
-  push_at_ = TimePoint::max();
+void Gossip::PushUpdates(TimePoint now) {
+  next_push_ = TimePoint::max();
   last_push_ = now;
-  // A notice interests everybody; documents only those that lack them.
+  // Notices go to all neighbours, documents only to those that lack them.
   const uint64_t revision =
       notices_.empty() ? context_->documents.revision() : UINT64_MAX;
   const std::vector<std::string> names =
-      Choose(now, context_->options.fanout, revision);
+      ChoosePeers(now, context_->options.fanout, revision);
   for (const std::string& name : names) {
-    Exchange exchange = Compose(now, name);
+    Exchange exchange = MakeExchange(now, name);
     exchange.notices = notices_;
     Send(now, name, context_->AddressOf(name), std::move(exchange));
   }
-  // A new instance has nobody to tell before it knows the list. Dropped here,
-  // its notice would leave it "leaving" for all others if its predecessor of
-  // the same name had said so.
+  // A new instance has no peers until it receives the list, so its notice is
+  // kept until then. Without the notice, the other instances would still
+  // consider it leaving if its predecessor of the same name had announced that.
   if (!names.empty()) notices_.clear();
 }
 
-void Gossip::Spread(TimePoint now, uint64_t revision, size_t count) {
-  std::vector<std::string> names = Choose(now, count, revision);
-  const std::vector<std::string>& others = context_->others();
+void Gossip::PushRevision(TimePoint now, uint64_t revision, size_t count) {
+  std::vector<std::string> names = ChoosePeers(now, count, revision);
+  const std::vector<std::string>& others = context_->other_instances();
   for (size_t i = 0; names.size() < count && i < 2 * count; ++i) {
     if (others.empty()) break;
-    const std::string& name = others[context_->Random(others.size())];
-    const bool twice =
+    const std::string& name = others[context_->RandomBelow(others.size())];
+    const bool already_chosen =
         std::find(names.begin(), names.end(), name) != names.end();
-    if (!twice && context_->peers[name].revision < revision) {
+    if (!already_chosen && context_->peers[name].revision < revision) {
       names.push_back(name);
     }
   }
   for (const std::string& name : names) {
-    Send(now, name, context_->AddressOf(name), Compose(now, name));
+    Send(now, name, context_->AddressOf(name), MakeExchange(now, name));
   }
 }
 
-void Gossip::ExchangeWithOne(TimePoint now) {
+void Gossip::ExchangeWithRandomPeer(TimePoint now) {
   const milliseconds interval = context_->options.exchange_interval;
-  const bool hurry = !context_->documents.known();
+  const bool unloaded = !context_->documents.IsLoaded();
   next_exchange_ =
-      now + context_->Jitter(hurry ? interval / kHurry : interval * 4 / 3);
-  ++rounds_;
-  postponed_ = 0;
-  // An instance that the list leaves out, as it may through a long outage of
-  // the platform, would be forgotten with its notice.
-  const bool renew = rounds_ % kRenewRounds == 0;
-  if (renew && !context_->members.Lists(announced_)) {
-    Announce(now, announced_.state);
+      now + context_->WithJitter(unloaded ? interval / kUnloadedRateFactor
+                                          : interval * 4 / 3);
+  ++exchange_count_;
+  postponed_exchanges_ = 0;
+  // The platform's list may omit an instance throughout a long outage; without
+  // renewal it would disappear from the member lists when its notice expires.
+  const bool renew = exchange_count_ % kNoticeRenewalRounds == 0;
+  if (renew && !context_->members.IsListed(announced_member_)) {
+    AnnounceSelf(now, announced_member_.state);
   }
-  const TimePoint stuck = fetch_until_ + 2 * context_->options.peer_timeout;
-  if (context_->documents.staging() && stuck < now) {
+  const TimePoint staging_deadline =
+      fetch_deadline_ + 2 * context_->options.peer_timeout;
+  if (context_->documents.IsStaging() && staging_deadline < now) {
     context_->documents.DropStaged();
   }
-  const std::vector<std::string>& others = context_->others();
-  std::vector<std::string> chosen = Choose(now, 1, UINT64_MAX);
-  if (!others.empty() && (chosen.empty() || rounds_ % kFarRounds == 0)) {
-    chosen = {others[context_->Random(others.size())]};
+  const std::vector<std::string>& others = context_->other_instances();
+  std::vector<std::string> chosen = ChoosePeers(now, 1, UINT64_MAX);
+  if (!others.empty() &&
+      (chosen.empty() || exchange_count_ % kRandomPeerRounds == 0)) {
+    chosen = {others[context_->RandomBelow(others.size())]};
   }
   if (!chosen.empty()) {
     Send(now, chosen[0], context_->AddressOf(chosen[0]),
-         Compose(now, chosen[0]));
+         MakeExchange(now, chosen[0]));
     return;
   }
   const std::vector<std::string>& seeds = context_->options.seeds;
   if (seeds.empty()) return;
-  const std::string& seed = seeds[context_->Random(seeds.size())];
+  const std::string& seed = seeds[context_->RandomBelow(seeds.size())];
   if (seed != context_->options.self.peer_address) {
-    Send(now, std::string(), seed, Compose(now, std::string()));
+    Send(now, std::string(), seed, MakeExchange(now, std::string()));
   }
 }
 
@@ -169,109 +176,115 @@
         const auto* reply =
             answer == nullptr ? nullptr : std::get_if<ExchangeReply>(answer);
         if (reply != nullptr) {
-          Answered(when, name, address, *reply);
+          HandleReply(when, name, address, *reply);
         }
       });
 }
 
-void Gossip::Fill(const Standing& wants, DocumentBlock* documents,
-                  MemberBlock* members) const {
+void Gossip::FillBlocks(const Standing& peer_state, DocumentBlock* documents,
+                        MemberBlock* members) const {
   const Documents& own = context_->documents;
-  const bool behind = wants.have_documents < own.revision();
-  if (wants.want_documents && own.known() && behind) {
-    *documents = own.Since(wants.have_documents, context_->options.block_bytes);
+  const bool behind = peer_state.have_documents < own.revision();
+  if (peer_state.want_documents && own.IsLoaded() && behind) {
+    *documents = own.ChangesSince(peer_state.have_documents,
+                                  context_->options.max_block_bytes);
   }
-  if (wants.want_members && wants.list_version < context_->members.version()) {
-    *members = context_->members.Since(wants.list_version);
+  if (peer_state.want_members &&
+      peer_state.list_version < context_->members.version()) {
+    *members = context_->members.ChangesSince(peer_state.list_version);
   }
 }
 
-bool Gossip::WantsFrom(TimePoint now, const std::string& name,
-                       const Standing& standing) {
+bool Gossip::ShouldFetchFrom(TimePoint now, const std::string& name,
+                             const Standing& standing) {
   if (standing.revision <= context_->documents.revision()) return false;
-  const bool elsewhere =
-      fetch_until_ > now && !fetch_from_.empty() && fetch_from_ != name;
-  if (elsewhere) {
-    fetch_next_ = name;
+  const bool fetching_elsewhere =
+      fetch_deadline_ > now && !fetch_peer_.empty() && fetch_peer_ != name;
+  if (fetching_elsewhere) {
+    next_fetch_peer_ = name;
     return false;
   }
-  // An instance that knows nothing yet believes only one that does.
-  if (!context_->documents.known() && !standing.ready) return false;
-  FetchFrom(now, name);
+  // Without a state, an instance accepts documents only from a ready peer.
+  if (!context_->documents.IsLoaded() && !standing.ready) return false;
+  StartFetch(now, name);
   return true;
 }
 
-void Gossip::FetchFrom(TimePoint now, const std::string& name) {
-  fetch_from_ = name;
-  fetch_next_.clear();
-  fetch_until_ = now + context_->options.peer_timeout / kFetchShare;
+void Gossip::StartFetch(TimePoint now, const std::string& name) {
+  fetch_peer_ = name;
+  next_fetch_peer_.clear();
+  fetch_deadline_ = now + context_->options.peer_timeout / kFetchTimeoutDivisor;
 }
 
-void Gossip::FetchElsewhere(TimePoint now) {
-  // The one that was going to send the documents has died or is slow.
-  const std::string name = fetch_next_;
-  fetch_next_.clear();
-  fetch_from_.clear();
-  Send(now, name, context_->AddressOf(name), Compose(now, name));
+void Gossip::FetchFromNext(TimePoint now) {
+  // The selected peer has failed or is slow.
+  const std::string name = next_fetch_peer_;
+  next_fetch_peer_.clear();
+  fetch_peer_.clear();
+  Send(now, name, context_->AddressOf(name), MakeExchange(now, name));
 }
 
-void Gossip::Take(TimePoint now, const std::string& from,
-                  const Standing& standing, const DocumentBlock& documents,
-                  const MemberBlock& members) {
-  context_->Heard(now, from, standing);
-  const bool filled = documents.complete || !documents.documents.empty();
-  if (filled && (context_->documents.known() || standing.ready)) {
-    context_->DocumentsApplied(
+void Gossip::ApplyBlocks(TimePoint now, const std::string& from,
+                         const Standing& standing,
+                         const DocumentBlock& documents,
+                         const MemberBlock& members) {
+  context_->RecordPeerState(now, from, standing);
+  const bool has_documents = documents.complete || !documents.documents.empty();
+  if (has_documents && (context_->documents.IsLoaded() || standing.ready)) {
+    context_->ReportChangedKeys(
         context_->documents.Merge(standing.revision, documents));
   }
-  const bool listed =
+  const bool has_members =
       members.full || !members.changed.empty() || !members.removed.empty();
-  if (listed && context_->members.Merge(standing.list_version, members)) {
-    context_->MembersTouched(now);
+  if (has_members && context_->members.Merge(standing.list_version, members)) {
+    context_->ScheduleMemberUpdate(now);
   }
 }
 
-ExchangeReply Gossip::Answer(TimePoint now, const Exchange& exchange) {
-  // The peer's exchange compares both sides, so this side's own can wait, but
-  // not for ever: a peer that is wrong about others would be all it hears.
-  if (context_->documents.known() && postponed_ < kMostPostponed) {
-    ++postponed_;
+ExchangeReply Gossip::HandleExchange(TimePoint now, const Exchange& exchange) {
+  // The peer's exchange compares both sides, so the local exchange can be
+  // postponed. The number of postponements is limited because that peer might
+  // have an outdated view and be the only one to call.
+  if (context_->documents.IsLoaded() &&
+      postponed_exchanges_ < kMaxPostponements) {
+    ++postponed_exchanges_;
     next_exchange_ = std::max(
-        next_exchange_,
-        now + context_->Jitter(context_->options.exchange_interval * 4 / 3));
+        next_exchange_, now + context_->WithJitter(
+                                  context_->options.exchange_interval * 4 / 3));
   }
-  Take(now, exchange.from, exchange.standing, exchange.documents,
-       exchange.members);
-  bool fresh = false;
+  ApplyBlocks(now, exchange.from, exchange.standing, exchange.documents,
+              exchange.members);
+  bool has_new_notice = false;
   for (const Notice& notice : exchange.notices) {
-    if (!context_->members.Take(now, notice)) continue;
-    fresh = true;
-    if (notices_.size() < kNoticesAtOnce) notices_.push_back(notice);
+    if (!context_->members.ApplyNotice(now, notice)) continue;
+    has_new_notice = true;
+    if (notices_.size() < kMaxPendingNotices) notices_.push_back(notice);
   }
-  if (fresh) context_->MembersTouched(now);
+  if (has_new_notice) context_->ScheduleMemberUpdate(now);
   ExchangeReply reply;
-  reply.standing = context_->StandingNow(now);
+  reply.standing = context_->CurrentSyncState(now);
   reply.standing.want_documents =
-      WantsFrom(now, exchange.from, exchange.standing);
+      ShouldFetchFrom(now, exchange.from, exchange.standing);
   reply.standing.want_members =
       exchange.standing.list_version > context_->members.version();
-  Fill(exchange.standing, &reply.documents, &reply.members);
+  FillBlocks(exchange.standing, &reply.documents, &reply.members);
   return reply;
 }
 
-void Gossip::Answered(TimePoint now, const std::string& name,
-                      const std::string& address, const ExchangeReply& reply) {
-  Take(now, name, reply.standing, reply.documents, reply.members);
+void Gossip::HandleReply(TimePoint now, const std::string& name,
+                         const std::string& address,
+                         const ExchangeReply& reply) {
+  ApplyBlocks(now, name, reply.standing, reply.documents, reply.members);
   const bool more = reply.documents.after < reply.documents.through &&
                     !reply.documents.complete;
-  Exchange next = Compose(now, name);
-  Fill(reply.standing, &next.documents, &next.members);
-  const bool filled =
+  Exchange next = MakeExchange(now, name);
+  FillBlocks(reply.standing, &next.documents, &next.members);
+  const bool documents =
       !next.documents.documents.empty() || next.documents.complete;
-  const bool listed = !next.members.changed.empty() ||
-                      !next.members.removed.empty() || next.members.full;
-  if (more) FetchFrom(now, name);
-  if (more || filled || listed) Send(now, name, address, std::move(next));
+  const bool members = !next.members.changed.empty() ||
+                       !next.members.removed.empty() || next.members.full;
+  if (more) StartFetch(now, name);
+  if (more || documents || members) Send(now, name, address, std::move(next));
 }
 
 }  // namespace ryefold::core::configuration
--- a/src/libcore/configuration/gossip.h
+++ b/src/libcore/configuration/gossip.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// Exchanges with peers: one a second with a random peer, and a few at once
-// when there is news, passed on by each instance while it is new to it.
+// Anti-entropy exchanges with a random peer about once per second, and pushes
+// of updates to several peers. Each instance forwards an update once, when it
+// first receives it.
 
 #include <map>
 #include <string>
@@ -18,51 +19,54 @@
   void Start(TimePoint now);
   void Tick(TimePoint now);
   TimePoint next_deadline() const;
-  ExchangeReply Answer(TimePoint now, const Exchange& exchange);
+  ExchangeReply HandleExchange(TimePoint now, const Exchange& exchange);
 
-  /// Tells a few peers soon; news within the same moment goes together.
-  void NewsSoon(TimePoint now);
-  /// Tells `count` peers, further ones than usual if need be: those that are
-  /// not known to hold `revision`.
-  void Spread(TimePoint now, uint64_t revision, size_t count);
-  /// Begins to tell of this instance itself.
-  void Announce(TimePoint now, membership::MemberState state);
+  /// Schedules a push to a few peers; updates at almost the same time are sent
+  /// together.
+  void SchedulePush(TimePoint now);
+  /// Sends an exchange to `count` peers that are not known to hold `revision`,
+  /// and uses peers beyond the neighbours if necessary.
+  void PushRevision(TimePoint now, uint64_t revision, size_t count);
+  /// Creates a notice of this instance with the given state and schedules it
+  /// for sending.
+  void AnnounceSelf(TimePoint now, membership::MemberState state);
 
  private:
   void Send(TimePoint now, const std::string& name, const std::string& address,
             Exchange exchange);
-  void Answered(TimePoint now, const std::string& name,
-                const std::string& address, const ExchangeReply& reply);
-  Exchange Compose(TimePoint now, const std::string& name);
-  void Take(TimePoint now, const std::string& from, const Standing& standing,
-            const DocumentBlock& documents, const MemberBlock& members);
-  bool WantsFrom(TimePoint now, const std::string& name,
-                 const Standing& standing);
-  void Fill(const Standing& wants, DocumentBlock* documents,
-            MemberBlock* members) const;
-  void FetchFrom(TimePoint now, const std::string& name);
-  void FetchElsewhere(TimePoint now);
-  void Push(TimePoint now);
-  void ExchangeWithOne(TimePoint now);
-  std::vector<std::string> Choose(TimePoint now, size_t count,
-                                  uint64_t revision);
+  void HandleReply(TimePoint now, const std::string& name,
+                   const std::string& address, const ExchangeReply& reply);
+  Exchange MakeExchange(TimePoint now, const std::string& name);
+  void ApplyBlocks(TimePoint now, const std::string& from,
+                   const Standing& standing, const DocumentBlock& documents,
+                   const MemberBlock& members);
+  bool ShouldFetchFrom(TimePoint now, const std::string& name,
+                       const Standing& standing);
+  void FillBlocks(const Standing& peer_state, DocumentBlock* documents,
+                  MemberBlock* members) const;
+  void StartFetch(TimePoint now, const std::string& name);
+  void FetchFromNext(TimePoint now);
+  void PushUpdates(TimePoint now);
+  void ExchangeWithRandomPeer(TimePoint now);
+  std::vector<std::string> ChoosePeers(TimePoint now, size_t count,
+                                       uint64_t revision);
 
   Context* context_;
   TimePoint next_exchange_ = TimePoint::max();
-  TimePoint push_at_ = TimePoint::max();
+  TimePoint next_push_ = TimePoint::max();
   TimePoint last_push_;
-  uint64_t rounds_ = 0;
-  int postponed_ = 0;
-  /// Where missing documents are being fetched from, and until when nobody
-  /// else is asked for them.
-  std::string fetch_from_;
-  TimePoint fetch_until_;
-  /// Another peer that has them.
-  std::string fetch_next_;
-  /// Notices still to be passed on.
+  uint64_t exchange_count_ = 0;
+  int postponed_exchanges_ = 0;
+  /// The peer that is sending the missing documents, and until when no other
+  /// peer is asked for them.
+  std::string fetch_peer_;
+  TimePoint fetch_deadline_;
+  /// Another peer that has the missing documents.
+  std::string next_fetch_peer_;
+  /// Notices to be forwarded.
   std::vector<Notice> notices_;
-  uint64_t own_sequence_ = 0;
-  membership::Member announced_;
+  uint64_t notice_count_ = 0;
+  membership::Member announced_member_;
 };
 
 }  // namespace ryefold::core::configuration
--- a/src/libcore/configuration/member_list.cc
+++ b/src/libcore/configuration/member_list.cc
@@ -8,73 +8,74 @@
 
 using membership::Member;
 
-/// The platform's list lags by seconds; by then it says the same.
-constexpr std::chrono::minutes kNoticeLife{2};
-constexpr size_t kRemovalsKept = 4096;
+/// Far longer than the lag of the platform's list, which is a matter of
+/// seconds.
+constexpr std::chrono::minutes kNoticeLifetime{2};
+constexpr size_t kMaxRemovals = 4096;
 
 }  // namespace
 
-bool MemberList::Put(uint64_t stamp, const Member& member) {
+bool MemberList::Put(uint64_t change_version, const Member& member) {
   removed_.erase(member.name);
   Entry& entry = entries_[member.name];
-  if (entry.stamp > 0 && entry.member == member) return false;
+  if (entry.change_version > 0 && entry.member == member) return false;
   entry.member = member;
-  entry.stamp = stamp;
+  entry.change_version = change_version;
   return true;
 }
 
-bool MemberList::Lists(const Member& member) const {
+bool MemberList::IsListed(const Member& member) const {
   const auto found = entries_.find(member.name);
   return found != entries_.end() && found->second.member == member;
 }
 
-bool MemberList::Remove(uint64_t stamp, const std::string& name) {
+bool MemberList::Remove(uint64_t change_version, const std::string& name) {
   if (entries_.erase(name) == 0) return false;
-  removed_[name] = stamp;
+  removed_[name] = change_version;
   notices_.erase(name);
   return true;
 }
 
-void MemberList::Trim() {
-  while (removed_.size() > kRemovalsKept) {
+void MemberList::TrimRemovals() {
+  while (removed_.size() > kMaxRemovals) {
     const auto oldest = std::min_element(
         removed_.begin(), removed_.end(),
         [](const auto& a, const auto& b) { return a.second < b.second; });
-    floor_ = std::max(floor_, oldest->second);
+    trimmed_through_ = std::max(trimmed_through_, oldest->second);
     removed_.erase(oldest);
   }
 }
 
-bool MemberList::Replace(uint64_t version, const std::vector<Member>& all) {
+bool MemberList::Replace(uint64_t version, const std::vector<Member>& members) {
   if (version <= version_) return false;
   std::set<std::string> present;
   bool changed = false;
-  for (const Member& member : all) {
+  for (const Member& member : members) {
     present.insert(member.name);
     changed |= Put(version, member);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (const auto& [name, entry] : entries_) {
-    if (!present.contains(name)) gone.push_back(name);
+    if (!present.contains(name)) removed.push_back(name);
   }
-  for (const std::string& name : gone) changed |= Remove(version, name);
-  Trim();
+  for (const std::string& name : removed) changed |= Remove(version, name);
+  TrimRemovals();
   version_ = version;
   return changed;
 }
 
-MemberBlock MemberList::Since(uint64_t version) const {
+MemberBlock MemberList::ChangesSince(uint64_t version) const {
   MemberBlock block;
   block.after = version;
-  block.full = version < floor_ || version == 0;
+  block.full = version < trimmed_through_ || version == 0;
   for (const auto& [name, entry] : entries_) {
-    if (block.full || entry.stamp > version) {
+    if (block.full || entry.change_version > version) {
       block.changed.push_back(entry.member);
     }
   }
   if (block.full) return block;
-  for (const auto& [name, stamp] : removed_) {
-    if (stamp > version) block.removed.push_back(name);
+  for (const auto& [name, change_version] : removed_) {
+    if (change_version > version) block.removed.push_back(name);
   }
   return block;
 }
@@ -82,46 +83,47 @@
 bool MemberList::Merge(uint64_t version, const MemberBlock& block) {
   if (version <= version_) return false;
   if (block.full) return Replace(version, block.changed);
-  // Made for a list newer than ours: what lies between would be lost.
+  // The block applies to a newer list than the local one; the changes in
+  // between would be lost.
   if (block.after > version_) return false;
   bool changed = false;
   for (const Member& member : block.changed) changed |= Put(version, member);
   for (const std::string& name : block.removed) {
     changed |= Remove(version, name);
   }
-  Trim();
+  TrimRemovals();
   version_ = version;
   return changed;
 }
 
-bool MemberList::Take(TimePoint now, const Notice& notice) {
-  Kept& kept = notices_[notice.member.name];
-  if (notice.sequence <= kept.notice.sequence) return false;
-  kept.notice = notice;
-  kept.until = now + kNoticeLife;
-  next_expiry_ = std::min(next_expiry_, kept.until);
+bool MemberList::ApplyNotice(TimePoint now, const Notice& notice) {
+  ActiveNotice& item = notices_[notice.member.name];
+  if (notice.sequence <= item.notice.sequence) return false;
+  item.notice = notice;
+  item.expires_at = now + kNoticeLifetime;
+  next_expiry_ = std::min(next_expiry_, item.expires_at);
   return true;
 }
 
-bool MemberList::Expire(TimePoint now) {
+bool MemberList::ExpireNotices(TimePoint now) {
   bool changed = false;
   std::erase_if(notices_, [&](const auto& entry) {
-    const bool due = entry.second.until <= now;
-    changed |= due && !Lists(entry.second.notice.member);
+    const bool due = entry.second.expires_at <= now;
+    changed |= due && !IsListed(entry.second.notice.member);
     return due;
   });
   next_expiry_ = TimePoint::max();
-  for (const auto& [name, kept] : notices_) {
-    next_expiry_ = std::min(next_expiry_, kept.until);
+  for (const auto& [name, item] : notices_) {
+    next_expiry_ = std::min(next_expiry_, item.expires_at);
   }
   return changed;
 }
 
-std::map<std::string, Member> MemberList::merged() const {
-  std::map<std::string, Member> all;
-  for (const auto& [name, entry] : entries_) all.emplace(name, entry.member);
-  for (const auto& [name, kept] : notices_) all[name] = kept.notice.member;
-  return all;
+std::map<std::string, Member> MemberList::MergedMembers() const {
+  std::map<std::string, Member> merged;
+  for (const auto& [name, entry] : entries_) merged.emplace(name, entry.member);
+  for (const auto& [name, item] : notices_) merged[name] = item.notice.member;
+  return merged;
 }
 
 }  // namespace ryefold::core::configuration
--- a/src/libcore/configuration/member_list.h
+++ b/src/libcore/configuration/member_list.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The platform's list of members at one version, with what peers have told of
-// themselves ahead of it.
+// The platform's member list at one version, merged with notices received from
+// peers.
 
 #include <chrono>
 #include <cstdint>
@@ -15,52 +15,56 @@
 
 namespace ryefold::core::configuration {
 
-/// Each entry remembers the list version at which it was seen to change, so
-/// that a peer gets just what changed since its own version. Entries of a full
-/// list read late carry a version that is too high at worst, which sends them
-/// once more than needed and never loses one.
+/// Each entry stores the list version at which its change was observed, so that
+/// a peer receives only what changed after its own version. If a full list is
+/// read late, the version may be too high; then entries are sent more often
+/// than necessary but never lost.
 class MemberList {
  public:
   uint64_t version() const { return version_; }
-  /// Whether the list itself, without notices, says this of the member.
-  bool Lists(const membership::Member& member) const;
+  /// Returns whether the list, without notices, contains exactly this member.
+  bool IsListed(const membership::Member& member) const;
 
-  /// Takes the platform's own list; true when anything changed.
-  bool Replace(uint64_t version, const std::vector<membership::Member>& all);
-  /// What a peer at `version` lacks.
-  MemberBlock Since(uint64_t version) const;
-  /// Takes what a peer at list version `version` has sent.
+  /// Replaces the list with the platform's. Returns true if anything changed.
+  bool Replace(uint64_t version,
+               const std::vector<membership::Member>& members);
+  /// Returns the changes after `version`, or the full list if `version` is too
+  /// old.
+  MemberBlock ChangesSince(uint64_t version) const;
+  /// Merges a block sent by a peer at list version `version`. Returns true if
+  /// anything changed.
   bool Merge(uint64_t version, const MemberBlock& block);
 
-  /// Keeps a notice for a while; true when it was new.
-  bool Take(TimePoint now, const Notice& notice);
-  /// Forgets notices that are due; true when the list says otherwise.
-  bool Expire(TimePoint now);
+  /// Stores a notice for a limited time. Returns true if it is new.
+  bool ApplyNotice(TimePoint now, const Notice& notice);
+  /// Removes expired notices. Returns true if one of them differed from the
+  /// list.
+  bool ExpireNotices(TimePoint now);
   TimePoint next_expiry() const { return next_expiry_; }
 
-  /// The list with the notices laid over it, in order of name.
-  std::map<std::string, membership::Member> merged() const;
+  /// Returns the list with notices applied, ordered by name.
+  std::map<std::string, membership::Member> MergedMembers() const;
 
  private:
   struct Entry {
     membership::Member member;
-    uint64_t stamp = 0;
+    uint64_t change_version = 0;
   };
-  struct Kept {
+  struct ActiveNotice {
     Notice notice;
-    TimePoint until;
+    TimePoint expires_at;
   };
 
-  bool Remove(uint64_t stamp, const std::string& name);
-  bool Put(uint64_t stamp, const membership::Member& member);
-  void Trim();
+  bool Remove(uint64_t change_version, const std::string& name);
+  bool Put(uint64_t change_version, const membership::Member& member);
+  void TrimRemovals();
 
   uint64_t version_ = 0;
   std::map<std::string, Entry> entries_;
   std::map<std::string, uint64_t> removed_;
-  /// Removals at or below this version have been forgotten.
-  uint64_t floor_ = 0;
-  std::map<std::string, Kept> notices_;
+  /// Removals at or below this version are no longer stored.
+  uint64_t trimmed_through_ = 0;
+  std::map<std::string, ActiveNotice> notices_;
   TimePoint next_expiry_ = TimePoint::max();
 };
 
--- a/src/libcore/configuration/node.cc
+++ b/src/libcore/configuration/node.cc
@@ -28,99 +28,102 @@
         gossip_(&context_),
         follower_(&context_),
         publisher_(&context_, &gossip_),
-        census_(&context_),
+        in_force_counter_(&context_),
         history_(&context_),
         snapshots_(&context_) {}
 
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions) {
     context_.actions = actions;
-    std::visit([this, now](const auto& e) { On(now, e); }, event);
+    std::visit([this, now](const auto& e) { HandleEvent(now, e); }, event);
     Advance(now);
     context_.actions = nullptr;
   }
 
   TimePoint next_deadline() const {
-    return std::min({gossip_.next_deadline(), follower_.next_deadline(),
-                     publisher_.next_deadline(), census_.next_deadline(),
-                     history_.next_deadline(), snapshots_.next_deadline(),
-                     context_.members.next_expiry(),
-                     context_.apply_members_at()});
+    return std::min(
+        {gossip_.next_deadline(), follower_.next_deadline(),
+         publisher_.next_deadline(), in_force_counter_.next_deadline(),
+         history_.next_deadline(), snapshots_.next_deadline(),
+         context_.members.next_expiry(), context_.apply_members_at()});
   }
 
   const Context& context() const { return context_; }
   NodeView View(TimePoint now) const;
 
  private:
-  void On(TimePoint now, const Started&);
-  void On(TimePoint now, const Leaving&) {
-    gossip_.Announce(now, membership::MemberState::kLeaving);
+  void HandleEvent(TimePoint now, const Started&);
+  void HandleEvent(TimePoint now, const Leaving&) {
+    gossip_.AnnounceSelf(now, membership::MemberState::kLeaving);
   }
-  void On(TimePoint now, const StoreAnswered& event) {
-    context_.StoreReturned(now, event.call, &event.answer);
+  void HandleEvent(TimePoint now, const StoreAnswered& event) {
+    context_.CompleteStoreCall(now, event.call, &event.answer);
   }
-  void On(TimePoint now, const StoreFailed& event) {
-    context_.StoreReturned(now, event.call, nullptr);
+  void HandleEvent(TimePoint now, const StoreFailed& event) {
+    context_.CompleteStoreCall(now, event.call, nullptr);
   }
-  void On(TimePoint now, const PeerCalled& event);
-  void On(TimePoint now, const PeerAnswered& event) {
-    context_.PeerReturned(now, event.call, &event.answer);
+  void HandleEvent(TimePoint now, const PeerCalled& event);
+  void HandleEvent(TimePoint now, const PeerAnswered& event) {
+    context_.CompletePeerCall(now, event.call, &event.answer);
   }
-  void On(TimePoint now, const PeerFailed& event) {
-    context_.PeerReturned(now, event.call, nullptr);
+  void HandleEvent(TimePoint now, const PeerFailed& event) {
+    context_.CompletePeerCall(now, event.call, nullptr);
   }
-  void On(TimePoint now, const PublishArrived& event) {
-    publisher_.Arrived(now, event);
+  void HandleEvent(TimePoint now, const PublishArrived& event) {
+    publisher_.HandleRequest(now, event);
   }
-  void On(TimePoint now, const ForceArrived& event) {
-    census_.Arrived(now, event);
+  void HandleEvent(TimePoint now, const ForceArrived& event) {
+    in_force_counter_.HandleRequest(now, event);
   }
-  void On(TimePoint now, const HistoryArrived& event) {
-    history_.Arrived(now, event);
+  void HandleEvent(TimePoint now, const HistoryArrived& event) {
+    history_.HandleRequest(now, event);
   }
-  void On(TimePoint, const Tick&) {}
+  void HandleEvent(TimePoint, const Tick&) {}
   void Advance(TimePoint now);
 
   Context context_;
   Gossip gossip_;
   Follower follower_;
   Publisher publisher_;
-  Census census_;
-  History history_;
+  InForceCounter in_force_counter_;
+  HistoryReader history_;
   SnapshotWriter snapshots_;
 };
 
-void Node::Impl::On(TimePoint now, const Started&) {
-  context_.started = now;
-  context_.peer_heard = now;
-  context_.store_heard = now;
-  // Not a claim to have seen it: that would spread to peers.
-  context_.store_seen = now - std::chrono::seconds(15);
+void Node::Impl::HandleEvent(TimePoint now, const Started&) {
+  context_.started_at = now;
+  context_.last_peer_contact = now;
+  context_.last_store_contact = now;
+  // Starts in the past: exchanges report this time to peers, which would take a
+  // recent value for a response of the store.
+  context_.last_fleet_store_contact = now - std::chrono::seconds(15);
   gossip_.Start(now);
   follower_.Start(now);
 }
 
-void Node::Impl::On(TimePoint now, const PeerCalled& event) {
+void Node::Impl::HandleEvent(TimePoint now, const PeerCalled& event) {
   if (const auto* exchange = std::get_if<Exchange>(&event.request)) {
-    context_.Emit(ReplyToPeer{event.tag, gossip_.Answer(now, *exchange)});
+    context_.Emit(
+        ReplyToPeer{event.tag, gossip_.HandleExchange(now, *exchange)});
   } else if (const auto* query = std::get_if<ForceQuery>(&event.request)) {
-    census_.Query(now, event.tag, *query);
+    in_force_counter_.HandleQuery(now, event.tag, *query);
   }
 }
 
 void Node::Impl::Advance(TimePoint now) {
-  if (context_.members.next_expiry() <= now && context_.members.Expire(now)) {
-    context_.MembersTouched(now);
+  if (context_.members.next_expiry() <= now &&
+      context_.members.ExpireNotices(now)) {
+    context_.ScheduleMemberUpdate(now);
   }
   context_.ApplyMembers(now);
-  publisher_.PeersHeard(now);
+  publisher_.HandlePeerUpdates(now);
   follower_.Tick(now);
   publisher_.Tick(now);
-  census_.Tick(now);
+  in_force_counter_.Tick(now);
   history_.Tick(now);
   snapshots_.Tick(now);
-  if (context_.news) {
-    context_.news = false;
-    gossip_.NewsSoon(now);
+  if (context_.has_updates) {
+    context_.has_updates = false;
+    gossip_.SchedulePush(now);
   }
   gossip_.Tick(now);
 }
@@ -129,10 +132,10 @@
   NodeView view = context_.counters;
   view.revision = context_.documents.revision();
   view.list_version = context_.members.version();
-  view.ready = context_.Ready(now);
-  view.watching = follower_.OnDuty(now);
+  view.ready = context_.IsReady(now);
+  view.watching = follower_.IsStoreWatcher(now);
   view.documents = context_.documents.all().size();
-  for (const auto& [name, member] : context_.merged) {
+  for (const auto& [name, member] : context_.merged_members) {
     const bool instance = member.kind == membership::MemberKind::kInstance;
     ++(instance ? view.instances : view.databases);
   }
@@ -150,7 +153,7 @@
 
 TimePoint Node::next_deadline() const { return impl_->next_deadline(); }
 
-bool Node::ready(TimePoint now) const { return impl_->context().Ready(now); }
+bool Node::ready(TimePoint now) const { return impl_->context().IsReady(now); }
 
 uint64_t Node::revision() const {
   return impl_->context().documents.revision();
@@ -162,8 +165,8 @@
 
 std::vector<membership::Member> Node::members() const {
   std::vector<membership::Member> all;
-  all.reserve(impl_->context().merged.size());
-  for (const auto& [name, member] : impl_->context().merged) {
+  all.reserve(impl_->context().merged_members.size());
+  for (const auto& [name, member] : impl_->context().merged_members) {
     all.push_back(member);
   }
   return all;
--- a/src/libcore/configuration/publisher.h
+++ b/src/libcore/configuration/publisher.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Takes operators' changes into the store's log, and says "accepted" once
-// enough other instances hold them.
+// Appends operators' changes to the log in the store and reports them as
+// accepted once enough other instances hold them.
 
 #include <cstdint>
 #include <list>
@@ -17,56 +17,58 @@
   Publisher(Context* context, Gossip* gossip)
       : context_(context), gossip_(gossip) {}
 
-  void Arrived(TimePoint now, const PublishArrived& request);
+  void HandleRequest(TimePoint now, const PublishArrived& request);
   void Tick(TimePoint now);
   TimePoint next_deadline() const;
-  /// A peer has told its revision: it may be the holder that was missing.
-  void PeersHeard(TimePoint now);
+  /// Checks for holders after a peer reported its revision.
+  void HandlePeerUpdates(TimePoint now);
 
  private:
-  /// One change on its way. Those not yet placed in the log go one by one, in
-  /// the order of arrival; those placed wait for holders side by side.
+  /// One change being published. Changes not yet in the log are processed one
+  /// by one in order of arrival; changes in the log wait for holders
+  /// concurrently.
   struct Pending {
     Tag tag = 0;
     Change change;
     TimePoint deadline;
     bool repeat = false;
-    /// Revision at which the log holds it; 0 before that.
-    uint64_t placed = 0;
-    /// Revision of a put whose effect is not known.
-    uint64_t unsettled = 0;
-    bool calling = false;
+    /// Revision of the change in the log; 0 before it is there.
+    uint64_t log_revision = 0;
+    /// Revision of a put with unknown effect; 0 if there is none.
+    uint64_t unconfirmed_revision = 0;
+    bool call_in_flight = false;
     TimePoint next_try;
     std::chrono::milliseconds backoff{0};
   };
-  using Entry = std::list<Pending>::iterator;
+  using PendingIterator = std::list<Pending>::iterator;
 
-  /// How long a call may take: a slow store gets more than the usual time,
-  /// a lost answer leaves enough to look again.
-  std::chrono::milliseconds Patience(TimePoint now,
-                                     const Pending& pending) const;
-  void Advance(TimePoint now);
-  void Try(TimePoint now, Entry entry);
-  void Put(TimePoint now, Entry entry);
-  void PutReturned(TimePoint now, Tag tag, uint64_t revision,
-                   const StoreAnswer* answer);
-  void Look(TimePoint now, Entry entry, uint64_t revision);
-  void Looked(TimePoint now, Tag tag, uint64_t revision,
-              const StoreAnswer* answer);
-  void Occupied(TimePoint now, Entry entry, uint64_t revision,
-                const StoreValue& value);
-  void Placed(TimePoint now, Entry entry, uint64_t revision);
-  void RetryLater(TimePoint now, Entry entry);
+  /// Returns the timeout of one store call. A slow store gets more than the
+  /// default timeout, and a lost answer leaves enough time to read the log
+  /// again.
+  std::chrono::milliseconds CallTimeout(TimePoint now,
+                                        const Pending& pending) const;
+  void StartNext(TimePoint now);
+  void TryPublish(TimePoint now, PendingIterator it);
+  void Put(TimePoint now, PendingIterator it);
+  void HandlePut(TimePoint now, Tag tag, uint64_t revision,
+                 const StoreAnswer* answer);
+  void ReadRevision(TimePoint now, PendingIterator it, uint64_t revision);
+  void HandleRead(TimePoint now, Tag tag, uint64_t revision,
+                  const StoreAnswer* answer);
+  void HandleOccupied(TimePoint now, PendingIterator it, uint64_t revision,
+                      const StoreValue& value);
+  void RecordLogged(TimePoint now, PendingIterator it, uint64_t revision);
+  void RetryLater(TimePoint now, PendingIterator it);
   void CheckHolders(TimePoint now);
-  void Finish(Entry entry, PublishStatus status);
-  void Expire(TimePoint now);
-  Entry Find(Tag tag);
-  size_t Holders(uint64_t revision) const;
-  size_t Required() const;
-  std::optional<uint64_t> Present(const Change& change) const;
-  std::vector<Conflict> Conflicts(const Change& change) const;
-  bool Behind(const Change& change) const;
-  bool Valid(const Change& change) const;
+  void Finish(PendingIterator it, PublishStatus status);
+  void ExpirePending(TimePoint now);
+  PendingIterator FindPending(Tag tag);
+  size_t CountHolders(uint64_t revision) const;
+  size_t RequiredHolders() const;
+  std::optional<uint64_t> FindRevision(const Change& change) const;
+  std::vector<Conflict> FindConflicts(const Change& change) const;
+  bool IsBehind(const Change& change) const;
+  bool IsValid(const Change& change) const;
 
   Context* context_;
   Gossip* gossip_;
--- a/testsuite/configuration_outage/outage_test.cc
+++ b/testsuite/configuration_outage/outage_test.cc
@@ -1,4 +1,5 @@
-// The store down or slow for long, instances started meanwhile, cuts.
+// Long outages and slowness of the store, instances started during an outage,
+// and network partitions.
 
 #include <gtest/gtest.h>
 
@@ -14,7 +15,7 @@
 
 class Outage : public ::testing::Test {
  protected:
-  void Begin(FleetOptions options) {
+  void StartFleet(FleetOptions options) {
     fleet_ = std::make_unique<Fleet>(std::move(options));
     ASSERT_TRUE(fleet_->RunUntil([this] { return fleet_->AllReady(); }, 5s));
   }
@@ -30,16 +31,16 @@
       ASSERT_EQ(fleet_->Answer(tag)->status, PublishStatus::kAccepted);
     }
   }
-  uint64_t head() const { return fleet_->platform.log().size(); }
+  uint64_t LastRevision() const { return fleet_->platform.log().size(); }
 
   std::unique_ptr<Fleet> fleet_;
   size_t next_ = 0;
 };
 
-// The store goes down for ten minutes. Instances go on with what is in force,
-// and stay ready, since they hear each other.
-TEST_F(Outage, EverybodyStaysReadyThroughALongOutage) {
-  Begin({});
+// During a store outage of ten minutes the instances keep the configuration in
+// force and stay ready, because they have contact to each other.
+TEST_F(Outage, AllInstancesStayReadyThroughALongOutage) {
+  StartFleet({});
   PublishMany(3);
   fleet_->platform.down = true;
   for (int minute = 0; minute < 10; ++minute) {
@@ -49,11 +50,11 @@
   }
 }
 
-// An instance is replaced while the store is down. It holds nothing and must
-// get what is in force from its peers, not start with an empty configuration:
-// callers of every workspace would be turned away.
+// An instance is replaced while the store is down. It starts without state and
+// must load the configuration from its peers. With an empty configuration it
+// would reject the callers of every workspace.
 TEST_F(Outage, InstanceStartedDuringTheOutageLearnsFromPeers) {
-  Begin({});
+  StartFleet({});
   PublishMany(5);
   fleet_->Run(2s);
   fleet_->platform.down = true;
@@ -67,10 +68,10 @@
   EXPECT_EQ(fleet_->node(3).members().size(), 8U);
 }
 
-// All instances are replaced one after the other while the store is down: what
-// is in force must survive in those that are left.
+// All instances are replaced one after the other while the store is down. The
+// configuration in force must survive in the remaining ones.
 TEST_F(Outage, AllReplacedInARowDuringTheOutage) {
-  Begin({});
+  StartFleet({});
   PublishMany(5);
   fleet_->Run(2s);
   fleet_->platform.down = true;
@@ -84,10 +85,9 @@
   }
 }
 
-// Everything starts at once while the store is down. Nobody knows what is in
-// force, so nobody may be ready: two empty instances that hear each other
-// must not take that for an empty configuration.
-TEST_F(Outage, NobodyIsReadyWhenNobodyKnows) {
+// All instances start while the store is down. None has a state, so none may be
+// ready: two empty instances in contact must not infer an empty configuration.
+TEST_F(Outage, NoInstanceIsReadyWithoutState) {
   FleetOptions options;
   fleet_ = std::make_unique<Fleet>(options);
   fleet_->platform.down = true;
@@ -99,15 +99,15 @@
   EXPECT_TRUE(fleet_->RunUntil([&] { return fleet_->AllReady(); }, 8s));
 }
 
-// One instance is cut off from the store and all peers. It can't know what is
-// in force, so it says that it is not ready, and catches up afterwards.
-TEST_F(Outage, AnInstanceThatHearsNobodyIsNotReady) {
-  Begin({});
+// An instance disconnected from the store and all peers cannot determine what
+// is in force. It reports not ready and catches up after it is reconnected.
+TEST_F(Outage, AnIsolatedInstanceIsNotReady) {
+  StartFleet({});
   PublishMany(1);
   for (size_t i = 0; i < fleet_->size(); ++i) {
     if (i != 2) fleet_->Cut(2, i);
   }
-  fleet_->CutFromStore(2);
+  fleet_->DisconnectFromStore(2);
   fleet_->Run(10s);
   EXPECT_FALSE(fleet_->node(2).ready(fleet_->now()));
   fleet_->Heal();
@@ -117,18 +117,18 @@
       fleet_->RunUntil([&] { return fleet_->InForceEverywhere(2); }, 2s));
 }
 
-// An instance has been cut off for minutes, the others have gone on, and a new
-// instance is started beside it that reaches nobody else. Taking each other
-// for the fleet, both would serve an old configuration as if it were in force.
+// An outdated instance and a new one reach only each other. If each counted the
+// other as contact to the fleet, both would serve an old configuration as
+// current.
 TEST_F(Outage, AnOldAndANewInstanceAloneAreNotReady) {
-  Begin({});
+  StartFleet({});
   PublishMany(1);
   for (size_t i = 0; i < fleet_->size(); ++i) {
     if (i != 2 && i != 3) fleet_->Cut(2, i);
     if (i != 2 && i != 3) fleet_->Cut(3, i);
   }
-  fleet_->CutFromStore(2);
-  fleet_->CutFromStore(3);
+  fleet_->DisconnectFromStore(2);
+  fleet_->DisconnectFromStore(3);
   fleet_->Kill(3);
   fleet_->Run(60s);
   fleet_->Start(3);
@@ -137,11 +137,12 @@
   EXPECT_FALSE(fleet_->node(3).ready(fleet_->now()));
 }
 
-// The store is down and for ten seconds no instance reaches any other. When
-// they do again, they know as much as before; waiting for the store, every
-// workspace would be refused for as long as that takes.
-TEST_F(Outage, ReadyAgainAfterAMomentWithoutAnybody) {
-  Begin({});
+// While the store is down, all instances lose contact to each other for ten
+// seconds. They are ready again once reconnected, because their state is
+// unchanged; if they waited for the store, every workspace would be rejected
+// until its return.
+TEST_F(Outage, ReadyAgainAfterPeersReconnect) {
+  StartFleet({});
   PublishMany(1);
   fleet_->Run(2s);
   fleet_->platform.down = true;
@@ -154,37 +155,37 @@
   EXPECT_TRUE(fleet_->RunUntil([&] { return fleet_->AllReady(); }, 5s));
 }
 
-// An instance is cut off from all peers but reaches the store. It is not one
-// of those that wait on the store; if it went on hoping for peers, changes
-// would not be in force on it.
+// An instance that is not a store watcher loses all peers but reaches the
+// store. It must read the store itself, or new changes would not take effect on
+// it.
 TEST_F(Outage, AnInstanceWithoutPeersAsksTheStore) {
-  Begin({});
-  for (size_t alone = 0; alone < fleet_->size(); ++alone) {
+  StartFleet({});
+  for (size_t isolated = 0; isolated < fleet_->size(); ++isolated) {
     for (size_t i = 0; i < fleet_->size(); ++i) {
-      if (i != alone) fleet_->Cut(alone, i);
+      if (i != isolated) fleet_->Cut(isolated, i);
     }
     fleet_->Run(6s);
-    const uint64_t before = head();
+    const uint64_t before = LastRevision();
     const auto name = std::to_string(next_++);
     const auto tag =
-        fleet_->Publish((alone + 1) % fleet_->size(),
+        fleet_->Publish((isolated + 1) % fleet_->size(),
                         ChangeOf(name, "workspace/" + name, 0, "text"));
     ASSERT_TRUE(fleet_->RunUntilAnswered(tag));
     EXPECT_TRUE(fleet_->RunUntil(
-        [&] { return fleet_->node(alone).revision() == before + 1; }, 2s));
-    EXPECT_TRUE(fleet_->node(alone).ready(fleet_->now()));
+        [&] { return fleet_->node(isolated).revision() == before + 1; }, 2s));
+    EXPECT_TRUE(fleet_->node(isolated).ready(fleet_->now()));
     fleet_->Heal();
     fleet_->Run(2s);
   }
 }
 
-// The instances that wait on the store are all dead, the list still names
-// them, and a change gets into the store whose publisher dies unheard. It must
-// come into force all the same once others notice the silence.
+// All store watchers have failed while the list still contains them, and the
+// publisher of a change in the store has failed as well. The change must take
+// effect once other instances detect the missing store responses.
 TEST_F(Outage, OthersTakeOverTheWatchWhenAllWatchersAreDead) {
   FleetOptions options;
   options.instances = 32;
-  Begin(options);
+  StartFleet(options);
   std::vector<size_t> watchers;
   for (size_t i = 0; i < fleet_->size(); ++i) {
     if (fleet_->node(i).view(fleet_->now()).watching) watchers.push_back(i);
@@ -197,12 +198,12 @@
       fleet_->RunUntil([&] { return fleet_->InForceEverywhere(1); }, 40s));
 }
 
-// The whole state does not fit one message. An instance that took the parts
-// that it has for the whole would serve some workspaces and refuse others.
+// The state does not fit into one message. An instance that treated the
+// received part as complete would serve some workspaces and reject others.
 TEST_F(Outage, ALargeStateComesIntoForceWhole) {
   FleetOptions options;
-  options.node.block_bytes = 2000;
-  Begin(options);
+  options.node.max_block_bytes = 2000;
+  StartFleet(options);
   PublishMany(40, std::string(500, 'x'));
   fleet_->platform.down = true;
   for (int round = 0; round < 5; ++round) {
@@ -215,19 +216,19 @@
   }
 }
 
-// A new instance has part of the state from a peer that was one change ahead
-// of all others, and that peer dies while the store is down. The others can
-// never complete what it sent; waiting for that, the new instance would not be
-// ready before the store returns.
-TEST_F(Outage, APartFromADeadPeerIsGivenUp) {
+// A new instance holds a partial state from a peer that is one change ahead of
+// all others, and that peer fails while the store is down. No other peer can
+// complete this state. The instance must discard it, or it would not be ready
+// before the store returns.
+TEST_F(Outage, APartialStateFromADeadPeerIsDropped) {
   FleetOptions options;
-  options.node.block_bytes = 1000;
-  Begin(options);
+  options.node.max_block_bytes = 1000;
+  StartFleet(options);
   PublishMany(40, std::string(500, 'x'));
   fleet_->Run(2s);
   for (size_t i = 0; i < fleet_->size(); ++i) {
     if (i != 4) fleet_->Cut(4, i);
-    if (i != 4) fleet_->CutFromStore(i);
+    if (i != 4) fleet_->DisconnectFromStore(i);
   }
   fleet_->Publish(4, ChangeOf("ahead", "group/g", 0, "ahead"), 1s);
   fleet_->Run(1s);
@@ -249,14 +250,14 @@
   EXPECT_EQ(fleet_->node(3).revision(), 40U);
 }
 
-// Old changes are cleared from the store, an instance starts, and no peer
-// answers it. It reads the snapshot; and one that is far behind and publishes
-// must never write a change at a place that had been used before.
+// A new instance without peers reads the snapshot after the old changes have
+// been cleared from the store. The cleared keys keep their version, so that an
+// instance far behind cannot write a change to them.
 TEST_F(Outage, ASnapshotReplacesOldChanges) {
   FleetOptions options;
-  options.node.snapshot_every = 10;
-  options.node.block_bytes = 3000;
-  Begin(options);
+  options.node.changes_per_snapshot = 10;
+  options.node.max_block_bytes = 3000;
+  StartFleet(options);
   for (int round = 0; round < 4; ++round) {
     PublishMany(12, std::string(300, 'x'));
     fleet_->Run(25s);
@@ -275,18 +276,17 @@
   EXPECT_EQ(fleet_->node(5).revision(), 48U);
 }
 
-// An instance was cut off for so long that the changes that it lacks have been
-// cleared from the store. Healed towards the store alone it publishes at once.
-// Had the cleared keys been free again, its change would begin a second
-// history, and others would never see it.
+// An instance reconnects to the store alone and publishes, after the changes
+// that it lacks have been cleared. If cleared keys could be created again, its
+// change would start a second history that no other instance sees.
 TEST_F(Outage, AnInstanceFarBehindCannotWriteASecondHistory) {
   FleetOptions options;
-  options.node.snapshot_every = 10;
-  Begin(options);
+  options.node.changes_per_snapshot = 10;
+  StartFleet(options);
   for (size_t i = 0; i < fleet_->size(); ++i) {
     if (i != 5) fleet_->Cut(5, i);
   }
-  fleet_->CutFromStore(5);
+  fleet_->DisconnectFromStore(5);
   next_ = 1;
   for (int round = 0; round < 4; ++round) {
     for (int i = 0; i < 12; ++i) {
@@ -306,7 +306,7 @@
       fleet_->RunUntil([&] { return fleet_->node(5).revision() > 0; }, 1s));
   ASSERT_TRUE(fleet_->RunUntilAnswered(tag));
   EXPECT_TRUE(fleet_->RunUntil(
-      [&] { return fleet_->node(5).revision() == head(); }, 15s));
+      [&] { return fleet_->node(5).revision() == LastRevision(); }, 15s));
   fleet_->Heal();
   fleet_->Run(5s);
   size_t found = 0;
@@ -314,22 +314,22 @@
     if (change.change_id == "late") found = revision;
   }
   EXPECT_TRUE(found == 0 || found == 49) << found;
-  EXPECT_TRUE(fleet_->InForceEverywhere(head()));
+  EXPECT_TRUE(fleet_->InForceEverywhere(LastRevision()));
 }
 
-// An instance comes back to the store alone, after the changes that it lacks
-// have been cleared. It waits for a change that will never be there again; it
-// must notice and read the snapshot.
+// An instance reconnects to the store alone, after the changes that it lacks
+// have been cleared. The change that it watches for no longer exists, so it
+// must detect this and read the snapshot.
 TEST_F(Outage, AnInstanceFarBehindReadsTheSnapshot) {
   FleetOptions options;
-  options.node.snapshot_every = 10;
-  Begin(options);
+  options.node.changes_per_snapshot = 10;
+  StartFleet(options);
   PublishMany(3);
   fleet_->Run(2s);
   for (size_t i = 0; i < fleet_->size(); ++i) {
     if (i != 5) fleet_->Cut(5, i);
   }
-  fleet_->CutFromStore(5);
+  fleet_->DisconnectFromStore(5);
   for (int round = 0; round < 4; ++round) {
     for (int i = 0; i < 12; ++i) {
       const std::string name = "x" + std::to_string(next_++);
@@ -345,13 +345,13 @@
     if (i != 5) fleet_->Cut(5, i);
   }
   EXPECT_TRUE(fleet_->RunUntil(
-      [&] { return fleet_->node(5).revision() == head(); }, 15s));
+      [&] { return fleet_->node(5).revision() == LastRevision(); }, 15s));
 }
 
-// The platform's list leaves one instance out and is then down for half an
-// hour. The instance lives and must not be forgotten by the others.
-TEST_F(Outage, AnInstanceThatTheListLeavesOutIsNotForgotten) {
-  Begin({});
+// The platform's list omits a running instance, and the platform is then down
+// for half an hour. The instance must stay in the member lists of the others.
+TEST_F(Outage, AnInstanceThatTheListOmitsStaysAMember) {
+  StartFleet({});
   std::vector<Member> wrong = fleet_->Everybody();
   wrong.erase(wrong.begin() + 3);
   fleet_->platform.SetMembers(wrong);
@@ -366,18 +366,18 @@
   }
 }
 
-// The platform's list names instances that do not exist and leaves out some
-// that do. Changes still reach everybody.
-TEST_F(Outage, AWrongListDoesNotKeepChangesFromAnybody) {
-  Begin({});
+// The platform's list contains instances that do not exist and omits some that
+// do. Changes still reach all instances.
+TEST_F(Outage, ChangesReachAllInstancesDespiteAWrongList) {
+  StartFleet({});
   std::vector<Member> wrong = fleet_->Everybody();
   wrong.erase(wrong.begin() + 1, wrong.begin() + 3);
   for (int i = 0; i < 4; ++i) {
-    Member ghost = wrong.front();
-    ghost.name = "i000" + std::to_string(7 - i);
-    ghost.name += "x";
-    ghost.peer_address = "10.0.0.3:9090";
-    wrong.push_back(ghost);
+    Member unknown = wrong.front();
+    unknown.name = "i000" + std::to_string(7 - i);
+    unknown.name += "x";
+    unknown.peer_address = "10.0.0.3:9090";
+    wrong.push_back(unknown);
   }
   fleet_->platform.SetMembers(wrong);
   fleet_->Run(5s);
--- a/testsuite/configuration_random/random_test.cc
+++ b/testsuite/configuration_random/random_test.cc
@@ -1,6 +1,7 @@
-// Random faults in virtual time: whatever happens, an accepted change is in
-// the log once and for good, nothing of a refused one ever is, no instance
-// falls back, and each holds exactly the state of some revision.
+// Random faults in virtual time. Invariants: an accepted change is in the log
+// exactly once and permanently, no part of a rejected change ever is, no
+// revision decreases, and each instance holds exactly the state of one
+// revision.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -17,22 +18,22 @@
 
 using cfg::PublishStatus;
 
-/// One random run: operators who look, edit and publish, and faults between.
-class History {
+/// One random run: operators read, edit and publish while faults are injected.
+class RandomRun {
  public:
-  explicit History(uint64_t seed) : random_(seed), fleet_(Options(seed)) {}
+  explicit RandomRun(uint64_t seed) : random_(seed), fleet_(Options(seed)) {}
 
-  void Faults(int steps) {
+  void InjectFaults(int steps) {
     fleet_.Run(2s);
     for (int step = 0; step < steps; ++step) {
       Step();
       fleet_.Run(milliseconds(Pick(700)));
     }
   }
-  void Settle() {
+  void Recover() {
     fleet_.platform.down = false;
-    fleet_.platform.slowness = 1ms;
-    fleet_.platform.lose_put_answers = 0;
+    fleet_.platform.call_delay = 1ms;
+    fleet_.platform.put_answers_to_lose = 0;
     fleet_.Heal();
     for (size_t i = 0; i < fleet_.size(); ++i) {
       if (!fleet_.at(i).alive) fleet_.Start(i);
@@ -44,23 +45,23 @@
     RC_ASSERT(fleet_.violations.empty());
     RC_ASSERT(fleet_.AllReady());
     RC_ASSERT(fleet_.InForceEverywhere(fleet_.platform.log().size()));
-    std::map<std::string, uint64_t> placed;
+    std::map<std::string, uint64_t> log_revisions;
     for (const auto& [revision, change] : fleet_.platform.log()) {
-      RC_ASSERT(placed.emplace(change.change_id, revision).second);
+      RC_ASSERT(log_revisions.emplace(change.change_id, revision).second);
     }
     for (const cfg::PublishDone& done : fleet_.published) {
       const std::string& id = ids_.at(done.tag);
       if (done.status == PublishStatus::kAccepted) {
-        RC_ASSERT(placed.contains(id));
-        RC_ASSERT(placed.at(id) == done.revision);
+        RC_ASSERT(log_revisions.contains(id));
+        RC_ASSERT(log_revisions.at(id) == done.revision);
       } else if (done.status == PublishStatus::kUnavailable) {
-        // Speaks for this attempt: the operator may send the change again,
-        // and that attempt may succeed. A repeat is never told so, since an
-        // earlier attempt may still be under way.
+        // Applies to this attempt only: the operator may send the change again,
+        // and that attempt may succeed. A repeat never has this status, since
+        // an earlier attempt may still be in flight.
         RC_ASSERT(!repeats_.contains(done.tag));
-        RC_ASSERT(!placed.contains(id) || repeated_.contains(id));
+        RC_ASSERT(!log_revisions.contains(id) || repeated_.contains(id));
       } else if (done.status == PublishStatus::kConflict) {
-        RC_ASSERT(!placed.contains(id) || repeated_.contains(id));
+        RC_ASSERT(!log_revisions.contains(id) || repeated_.contains(id));
       }
     }
   }
@@ -70,8 +71,8 @@
     FleetOptions options;
     options.instances = 6;
     options.seed = seed;
-    options.node.block_bytes = 600;
-    options.node.snapshot_every = 12;
+    options.node.max_block_bytes = 600;
+    options.node.changes_per_snapshot = 12;
     return options;
   }
   size_t Pick(size_t below) { return random_() % below; }
@@ -88,17 +89,17 @@
       case 3:
         return fleet_.Cut(i, (i + 1 + Pick(5)) % fleet_.size());
       case 4:
-        return fleet_.CutFromStore(i);
+        return fleet_.DisconnectFromStore(i);
       case 5:
         return fleet_.Heal();
       case 6:
         fleet_.platform.down = Pick(2) == 0;
         return;
       case 7:
-        fleet_.platform.slowness = milliseconds(Pick(2) == 0 ? 1 : 2500);
+        fleet_.platform.call_delay = milliseconds(Pick(2) == 0 ? 1 : 2500);
         return;
       case 8:
-        fleet_.platform.lose_put_answers += 1;
+        fleet_.platform.put_answers_to_lose += 1;
         return;
       case 9:
         if (fleet_.at(i).alive && !fleet_.at(i).frozen) fleet_.Freeze(i);
@@ -111,12 +112,13 @@
     }
   }
 
-  /// What the operator saw comes from one instance, the publish goes through
-  /// another; sometimes an earlier change is repeated.
+  /// Reads a document on one instance and publishes an edit of it through
+  /// another one, or repeats an earlier change.
   void Publish(size_t i) {
     const size_t through = Pick(fleet_.size());
-    const bool able = fleet_.at(through).alive && !fleet_.at(through).frozen;
-    if (!able || !fleet_.at(i).alive) return;
+    const bool can_publish =
+        fleet_.at(through).alive && !fleet_.at(through).frozen;
+    if (!can_publish || !fleet_.at(i).alive) return;
     if (!changes_.empty() && Pick(4) == 0) {
       const cfg::Change& again = changes_[Pick(changes_.size())];
       repeated_.insert(again.change_id);
@@ -143,34 +145,35 @@
   std::map<cfg::Tag, std::string> ids_;
 };
 
-// Instances die, freeze and are cut off, the store goes away, is slow and
-// loses answers, while operators publish and repeat. A user would notice a
-// fault here as a change that came, went and came back, or a workspace with
-// parameters that nobody published.
+// Instances crash, freeze and are disconnected, and the store is down, slow or
+// loses answers, while operators publish and repeat changes. A violation would
+// be visible as a change that disappears and returns, or as a workspace with
+// parameters that were never published.
 RC_GTEST_PROP(ConfigurationRandom, HoldsThroughFaults, ()) {
   const auto seed = *rc::gen::arbitrary<uint32_t>();
-  History run(seed);
-  run.Faults(60);
-  run.Settle();
+  RandomRun run(seed);
+  run.InjectFaults(60);
+  run.Recover();
   run.Verify();
 }
 
-// An operator hears nothing of a change through one instance, whose put is
-// slow, and repeats it through another that cannot reach the store. Told "not
-// taken", the operator saw it in force a moment later.
+// The first publish is still in flight on an instance whose put is slow, and
+// the operator repeats it through another instance that cannot reach the store.
+// Reporting "not taken" is wrong, because the change takes effect a moment
+// later.
 TEST(ConfigurationSeeds, ARepeatIsNotDeniedWhileTheFirstIsUnderWay) {
-  History run(3592);
-  run.Faults(60);
-  run.Settle();
+  RandomRun run(3592);
+  run.InjectFaults(60);
+  run.Recover();
   run.Verify();
 }
 
 // An instance restarts while its watch is open at the store. The answer belongs
-// to the process before; the new one must not see it.
-TEST(ConfigurationSeeds, AnAnswerToTheProcessBeforeGoesNowhere) {
-  History run(16080814);
-  run.Faults(60);
-  run.Settle();
+// to the previous process and must not reach the new one.
+TEST(ConfigurationSeeds, AnAnswerToThePreviousProcessIsDropped) {
+  RandomRun run(16080814);
+  run.InjectFaults(60);
+  run.Recover();
   run.Verify();
 }
 
--- a/testsuite/support/control/box.h
+++ b/testsuite/support/control/box.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One instance of a control fleet, and what a fleet is made of.
+// One instance of a simulated fleet, and the options of a fleet.
 
 #include <cstdint>
 #include <functional>
@@ -24,19 +24,19 @@
   size_t groups = 0;
   uint64_t seed = 1;
   cfg::NodeOptions node;
-  /// Compares what is in force with the platform's log at each change.
+  /// Compares the documents in force with the platform's log after each change.
   bool check = true;
 };
 
-/// What one instance has said and done.
-struct Box {
+/// The components and simulation state of one instance.
+struct FleetInstance {
   std::string name;
   std::unique_ptr<cfg::Node> node;
   std::unique_ptr<mem::Roster> roster;
   std::unique_ptr<mem::Duties> duties;
   bool alive = false;
   bool frozen = false;
-  /// Counts starts; what belongs to an earlier one is dropped.
+  /// Number of starts; events of an earlier start are dropped.
   uint64_t generation = 0;
   uint64_t incarnation = 0;
   TimePoint tick_at = TimePoint::max();
--- a/testsuite/support/control/meter.h
+++ b/testsuite/support/control/meter.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Counts what the control part of a fleet sends: messages and bytes between
-// instances, encoded as on the wire, and calls to the store.
+// Counts messages and bytes between the instances of a fleet, encoded as on the
+// wire, and calls to the store.
 
 #include <algorithm>
 #include <chrono>
@@ -13,12 +13,12 @@
 
 namespace ryefold::testing::control {
 
-/// Allowance for each message beside its msgpack body: HTTP/2 frame headers of
-/// HEADERS and DATA (18), header fields from the table after the first call
-/// (8), IP and TCP headers with timestamps (52), and half of the one bare
-/// acknowledgement that a call costs (26): the answer acknowledges the
-/// request.
-constexpr uint64_t kFraming = 104;
+/// Overhead of each message beside its msgpack body: HTTP/2 frame headers of
+/// HEADERS and DATA (18), header fields from the dynamic table after the first
+/// call (8), IP and TCP headers with timestamps (52), and half of the single
+/// bare acknowledgement that a call costs (26), since the answer acknowledges
+/// the request.
+constexpr uint64_t kMessageOverheadBytes = 104;
 
 class Meter {
  public:
@@ -48,12 +48,12 @@
   double seconds() const {
     return std::chrono::duration<double>(fleet_->now() - begin_).count();
   }
-  /// Sent and received together, for each instance and second.
+  /// Messages sent and received per instance and second.
   double messages() const { return Mean(messages_) / seconds(); }
   double bytes() const { return Mean(bytes_) / seconds(); }
-  /// The busiest instance.
-  double worst_bytes() const { return Most(bytes_) / seconds(); }
-  /// Share of the instances above so many bytes a second.
+  /// Bytes per second of the instance with the most traffic.
+  double worst_bytes() const { return Max(bytes_) / seconds(); }
+  /// Fraction of the instances with more than `limit` bytes per second.
   double share_above(double limit) const {
     const auto above =
         std::count_if(bytes_.begin(), bytes_.end(), [&](const uint64_t bytes) {
@@ -61,7 +61,7 @@
         });
     return static_cast<double>(above) / static_cast<double>(bytes_.size());
   }
-  /// Of the whole fleet.
+  /// Store calls per second of the whole fleet.
   double store_calls() const {
     return static_cast<double>(fleet_->platform.calls - store_begin_) /
            seconds();
@@ -70,14 +70,14 @@
  private:
   void Count(size_t i, uint64_t size) {
     ++messages_[i];
-    bytes_[i] += size + kFraming;
+    bytes_[i] += size + kMessageOverheadBytes;
   }
   static double Mean(const std::vector<uint64_t>& counts) {
     uint64_t sum = 0;
     for (const uint64_t count : counts) sum += count;
     return static_cast<double>(sum) / static_cast<double>(counts.size());
   }
-  static double Most(const std::vector<uint64_t>& counts) {
+  static double Max(const std::vector<uint64_t>& counts) {
     return static_cast<double>(*std::max_element(counts.begin(), counts.end()));
   }
 
@@ -88,8 +88,8 @@
   uint64_t store_begin_ = 0;
 };
 
-/// A fleet in the target's proportions: 1,100 instances before 533 groups of
-/// three databases, in five failure domains of two regions.
+/// Returns a fleet in the proportions of the target: 1,100 instances and 533
+/// groups of three databases, in five failure domains of two regions.
 inline FleetOptions TargetProportions(size_t instances) {
   constexpr size_t kTargetInstances = 1100;
   constexpr size_t kTargetGroups = 533;
--- a/testsuite/support/control/platform.h
+++ b/testsuite/support/control/platform.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The platform's service as a small fake in virtual time: versions, watches,
-// outages, slowness, and answers lost after a put took effect.
+// In-memory fake of the platform's service in virtual time, with versions,
+// watches, outages, delays, and answers lost after a put took effect.
 
 #include <chrono>
 #include <cstdint>
@@ -23,26 +23,26 @@
  public:
   using Answer = std::function<void(const cfg::StoreAnswer&)>;
 
-  /// Refuses to answer anything.
+  /// Does not answer any call.
   bool down = false;
-  /// Time that each call takes, beside the way there and back.
-  std::chrono::milliseconds slowness{1};
-  /// Answers to so many puts are lost, though they take effect.
-  int lose_put_answers = 0;
+  /// Duration of each call in addition to the network delay.
+  std::chrono::milliseconds call_delay{1};
+  /// Number of puts that take effect but whose answers are lost.
+  int put_answers_to_lose = 0;
   uint64_t calls = 0;
   uint64_t puts = 0;
-  /// Sees each call, for counting by instance and kind.
+  /// Called for each call, to count by instance and kind.
   std::function<void(const cfg::StoreRequest&)> observer;
 
-  /// Every change that ever took effect, by revision.
+  /// Every change that took effect, by revision.
   const std::map<uint64_t, cfg::Change>& log() const { return log_; }
   const std::map<std::string, std::pair<uint64_t, cfg::StoreValue>>& keys()
       const {
     return keys_;
   }
 
-  /// Takes effect at once; `answer` may be called now or, for a watch, later.
-  /// False when the platform does not answer.
+  /// Executes the request at once. `answer` is called before the return or, for
+  /// a watch, possibly later. Returns false if the platform does not answer.
   bool Call(const cfg::StoreRequest& request, Answer answer) {
     ++calls;
     if (observer) observer(request);
@@ -54,7 +54,7 @@
     } else if (const auto* put = std::get_if<cfg::StorePut>(&request)) {
       return Put(*put, answer);
     } else {
-      List(std::get<cfg::StoreInstances>(request), answer);
+      ReadList(std::get<cfg::StoreInstances>(request), answer);
     }
     return true;
   }
@@ -65,7 +65,7 @@
   }
   const std::vector<Member>& members() const { return members_; }
 
-  /// Ends the watches on a key, as a wait that is over does.
+  /// Ends all watches as if their wait had elapsed.
   void EndWatches() {
     auto watches = std::move(watches_);
     watches_.clear();
@@ -95,19 +95,19 @@
     if (done) {
       ++version;
       value = put.value;
-      Record(put);
+      RecordChange(put);
     }
     const uint64_t present = version;
-    if (done) Wake(put.key);
-    if (done && lose_put_answers > 0) {
-      --lose_put_answers;
+    if (done) NotifyWatches(put.key);
+    if (done && put_answers_to_lose > 0) {
+      --put_answers_to_lose;
       return false;
     }
     answer(cfg::StorePutDone{done, present});
     return true;
   }
 
-  void Record(const cfg::StorePut& put) {
+  void RecordChange(const cfg::StorePut& put) {
     const auto* change = std::get_if<cfg::Change>(&put.value);
     if (change == nullptr) return;
     const uint64_t revision =
@@ -115,7 +115,7 @@
     log_.emplace(revision, *change);
   }
 
-  void Wake(const std::string& key) {
+  void NotifyWatches(const std::string& key) {
     const auto [begin, end] = watches_.equal_range(key);
     std::vector<Answer> waiting;
     for (auto it = begin; it != end; ++it) waiting.push_back(it->second);
@@ -123,7 +123,8 @@
     for (const Answer& answer : waiting) answer(Read(key));
   }
 
-  void List(const cfg::StoreInstances& request, const Answer& answer) const {
+  void ReadList(const cfg::StoreInstances& request,
+                const Answer& answer) const {
     cfg::StoreInstancesRead read;
     read.version = list_version_;
     read.unchanged = request.known_version == list_version_;
--- a/testsuite/support/control/traffic.h
+++ b/testsuite/support/control/traffic.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// Requests from entries to keepers, as far as membership is concerned: where
-// they go, whether they are served, and how long that takes.
+// Simulated requests from entries to keepers, as far as membership is
+// concerned: where they are sent, whether they are served, and how long they
+// take.
 
 #include <chrono>
 #include <cstdint>
@@ -19,17 +20,17 @@
 
   uint64_t sent = 0;
   uint64_t served = 0;
-  /// Served, but later than `kPrompt`.
+  /// Served, but later than `kPromptLimit`.
   uint64_t delayed = 0;
   uint64_t refused = 0;
   milliseconds worst{0};
 
-  /// Sends one request each `interval` from each live entry in turn, to each
-  /// group in turn, for `length`.
-  void Start(milliseconds interval, milliseconds length,
+  /// Sends one request every `interval` for `duration`, round-robin over the
+  /// live entries and the groups.
+  void Start(milliseconds interval, milliseconds duration,
              std::vector<std::string> groups) {
     groups_ = std::move(groups);
-    for (milliseconds at{0}; at < length; at += interval) {
+    for (milliseconds at{0}; at < duration; at += interval) {
       const uint64_t n = next_++;
       fleet_->After(at, [this, n] {
         const size_t entry = n * 7 + n / groups_.size();
@@ -39,23 +40,23 @@
   }
 
   void Send(size_t entry, const std::string& group) {
-    const Box& box = fleet_->at(entry);
-    if (!box.alive || box.frozen) return;
+    const FleetInstance& instance = fleet_->at(entry);
+    if (!instance.alive || instance.frozen) return;
     ++sent;
     auto request = std::make_shared<Request>();
     request->entry = entry;
     request->group = group;
     request->begin = fleet_->now();
-    request->generation = box.generation;
-    Try(request);
+    request->generation = instance.generation;
+    SendAttempt(request);
   }
 
  private:
-  static constexpr milliseconds kPrompt{100};
+  static constexpr milliseconds kPromptLimit{100};
   static constexpr milliseconds kDeadline{5000};
-  static constexpr milliseconds kPatience{1500};
-  static constexpr milliseconds kWay{2};
-  static constexpr milliseconds kPause{100};
+  static constexpr milliseconds kCallTimeout{1500};
+  static constexpr milliseconds kNetworkDelay{2};
+  static constexpr milliseconds kRetryDelay{100};
 
   struct Request {
     size_t entry = 0;
@@ -64,12 +65,12 @@
     uint64_t generation = 0;
     size_t attempt = 0;
   };
-  using Shared = std::shared_ptr<Request>;
+  using RequestPtr = std::shared_ptr<Request>;
 
-  void Try(const Shared& request) {
-    Box& entry = fleet_->at(request->entry);
+  void SendAttempt(const RequestPtr& request) {
+    FleetInstance& entry = fleet_->at(request->entry);
     if (entry.generation != request->generation) {
-      --sent;  // The entry itself is gone: its caller turns to another one.
+      --sent;  // The entry restarted; its caller uses another entry.
       return;
     }
     if (fleet_->now() - request->begin >= kDeadline) {
@@ -78,42 +79,47 @@
     }
     const auto ranked =
         entry.roster->RankedInstances(fleet_->now(), request->group);
-    const size_t place = request->attempt++ % 3;
-    if (place >= ranked.size()) return Again(request, kPause);
-    const std::string& name = ranked[place];
+    const size_t rank = request->attempt++ % 3;
+    if (rank >= ranked.size()) return RetryAfter(request, kRetryDelay);
+    const std::string& name = ranked[rank];
     const size_t target = fleet_->IndexOf(name);
-    if (target == request->entry) return Arrive(request, target, name);
-    fleet_->After(
-        kWay, [this, request, target, name] { Arrive(request, target, name); });
+    if (target == request->entry) return HandleAttempt(request, target, name);
+    fleet_->After(kNetworkDelay, [this, request, target, name] {
+      HandleAttempt(request, target, name);
+    });
   }
 
-  void Arrive(const Shared& request, size_t target, const std::string& name) {
-    const Box& box = fleet_->at(target);
-    const bool silent = !fleet_->Reaches(request->entry, target) || box.frozen;
-    if (!box.alive || silent) {
-      fleet_->After(silent ? kPatience : kWay, [this, request, name] {
-        fleet_->at(request->entry).roster->Suspect(fleet_->now(), name);
-        request->attempt = 0;
-        Try(request);
-      });
+  void HandleAttempt(const RequestPtr& request, size_t target,
+                     const std::string& name) {
+    const FleetInstance& instance = fleet_->at(target);
+    const bool unreachable =
+        !fleet_->IsConnected(request->entry, target) || instance.frozen;
+    if (!instance.alive || unreachable) {
+      fleet_->After(
+          unreachable ? kCallTimeout : kNetworkDelay, [this, request, name] {
+            fleet_->at(request->entry).roster->Suspect(fleet_->now(), name);
+            request->attempt = 0;
+            SendAttempt(request);
+          });
       return;
     }
     if (fleet_->Ask(target, request->group)) {
       Finish(*request);
     } else {
-      Again(request, request->attempt % 3 == 0 ? kPause : kWay);
+      RetryAfter(request,
+                 request->attempt % 3 == 0 ? kRetryDelay : kNetworkDelay);
     }
   }
 
-  void Again(const Shared& request, milliseconds pause) {
-    fleet_->After(pause, [this, request] { Try(request); });
+  void RetryAfter(const RequestPtr& request, milliseconds pause) {
+    fleet_->After(pause, [this, request] { SendAttempt(request); });
   }
 
   void Finish(const Request& request) {
     ++served;
     const auto took =
         std::chrono::duration_cast<milliseconds>(fleet_->now() - request.begin);
-    if (took > kPrompt) ++delayed;
+    if (took > kPromptLimit) ++delayed;
     worst = std::max(worst, took);
   }
 
