--- a/src/libcore/session/proxy_identity.cc
+++ b/src/libcore/session/proxy_identity.cc
@@ -1,5 +1,5 @@
-// Who callers are: the workspace whose key they gave, for as long as it is
-// configured.
+// Identity of callers: the workspace of the presented key, for as long as the
+// key is configured.
 
 #include <algorithm>
 #include <utility>
@@ -11,9 +11,10 @@
 
 using workspace::Identity;
 
-/// Finds out to which workspace the caller belongs on this route. False when
-/// its key is not configured: its session has been closed then.
-bool Proxy::Impl::Admit(TimePoint now, const Route& route, Caller* caller) {
+/// Assigns the caller to its workspace on this route. If the key is not
+/// configured, closes the session and returns false.
+bool Proxy::Impl::AdmitCaller(TimePoint now, const Route& route,
+                              Caller* caller) {
   const Identity identity =
       workspaces_.Identify(route.open_to_all, caller->key);
   if (identity.known) {
@@ -26,54 +27,56 @@
       .Add("database", caller->route)
       .Add("reason", "unknown_key")
       .Add("key_fingerprint", workspace::Fingerprint(caller->key))
-      .Add("config_version", table_.version)
+      .Add("config_version", route_table_.version)
       .Add("config_age", now - routes_confirmed_at_);
   const CallerId id = caller->id;
-  CallerGone(now, id);
+  CallerDisconnected(now, id);
   port_->CloseCaller(id, ErrorCode::kUnknownKey, "key is not configured");
   return false;
 }
 
-/// Whether the caller's key still stands for its workspace. An adopted caller
-/// was judged by the other instance, whose configuration may be the newer one.
-bool Proxy::Impl::StillKnown(const Caller& caller) const {
-  if (caller.adopted && caller.judged_by >= table_.version) return true;
+/// Whether the caller's key still belongs to its workspace. An adopted caller
+/// was checked by the other instance, whose configuration may be newer.
+bool Proxy::Impl::IsKeyValid(const Caller& caller) const {
+  if (caller.adopted && caller.admission_version >= route_table_.version) {
+    return true;
+  }
   const std::shared_ptr<const Route> route = RouteOf(caller);
-  // A route that is gone is told to the caller as such.
+  // A removed route is reported by the reply to the next statement.
   if (route == nullptr || route->open_to_all) return true;
   return workspaces_.StandsFor(caller.key, caller.workspace);
 }
 
-/// Keys were taken away. What has not been sent to a database is refused; what
-/// runs is answered; then the sessions end.
+/// Revokes the sessions whose keys were removed: refuses requests that were not
+/// sent to a database, lets those in flight finish, then closes the sessions.
 void Proxy::Impl::RevokeSessions(TimePoint now) {
   std::vector<RequestId> unsent;
   for (auto& [id, caller] : callers_) {
-    if (caller.revoked || StillKnown(caller)) continue;
+    if (caller.revoked || IsKeyValid(caller)) continue;
     caller.revoked = true;
-    revoked_.insert(id);
+    revoked_callers_.insert(id);
     const Request* request = FindRequest(caller.request);
     Event(events_, EventWeight::kRequest, "session_revoked")
         .Add("caller", id)
         .Add("workspace", caller.workspace)
         .Add("key_fingerprint", workspace::Fingerprint(caller.key))
         .Add("request", request == nullptr ? "" : request->statement_id)
-        .Add("config_version", table_.version);
+        .Add("config_version", route_table_.version);
     if (request == nullptr) continue;
-    const bool sent =
-        !request->running.empty() || !request->forwarded_to.empty() ||
-        request->unconfirmed.has_value() || request->unproved.has_value();
+    const bool sent = !request->running_on.empty() ||
+                      !request->forwarded_to.empty() ||
+                      request->unconfirmed_reply.has_value() ||
+                      request->unproved_reply.has_value();
     if (!sent) unsent.push_back(request->id);
   }
   for (const RequestId id : unsent) {
-    Refuse(now, FindRequest(id), ErrorCode::kUnknownKey,
-           std::chrono::milliseconds(0), "key_dropped");
+    RefuseRequest(now, FindRequest(id), ErrorCode::kUnknownKey,
+                  std::chrono::milliseconds(0), "key_dropped");
   }
-  EndRevoked(now);
+  CloseRevokedSessions(now);
 }
 
-/// The statement came after the key was taken away: its transaction is rolled
-/// back.
+/// Rolls back the transaction of a revoked session and answers its statement.
 void Proxy::Impl::AnswerRevoked(TimePoint now, Caller* caller) {
   if (caller->state == TransactionState::kOpen) {
     EndTransaction(now, caller, /*roll_back=*/true);
@@ -82,22 +85,23 @@
   AnswerLocally(caller, ErrorCode::kUnknownKey, "key was taken away");
 }
 
-void Proxy::Impl::EndRevoked(TimePoint now) {
-  const std::vector<CallerId> ids(revoked_.begin(), revoked_.end());
+void Proxy::Impl::CloseRevokedSessions(TimePoint now) {
+  const std::vector<CallerId> ids(revoked_callers_.begin(),
+                                  revoked_callers_.end());
   for (const CallerId id : ids) {
     const Caller* caller = FindCaller(id);
     if (caller != nullptr && caller->request != 0) continue;
     const bool adopted = caller != nullptr && caller->adopted;
-    CallerGone(now, id);
-    revoked_.erase(id);
-    if (adopted) continue;  // told with its next statement
+    CallerDisconnected(now, id);
+    revoked_callers_.erase(id);
+    if (adopted) continue;  // The reply to its next statement reports the end.
     port_->CloseCaller(id, ErrorCode::kUnknownKey, "key was taken away");
   }
 }
 
-/// An operation begins: a transaction, or a statement outside of one. Its
-/// workspace's limit was asked for where the caller is, so an adopted one is
-/// not counted again.
+/// Starts an operation: a transaction or a single statement. The instance that
+/// holds the caller's session checks the workspace's limit, so adopted callers
+/// are not counted again.
 void Proxy::Impl::StartOperation(TimePoint now, const Caller& caller,
                                  Request* request) {
   if (limiter_ == nullptr || caller.adopted || caller.workspace.empty()) {
@@ -117,8 +121,8 @@
 
 void Proxy::Impl::RefuseForLimit(TimePoint now, Request* request,
                                  const limits::LimitAnswer& answer) {
-  Refuse(now, request, ErrorCode::kOverLimit, answer.retry_after,
-         answer.unknown ? "limit_unknown" : "over_limit");
+  RefuseRequest(now, request, ErrorCode::kOverLimit, answer.retry_after,
+                answer.unknown ? "limit_unknown" : "over_limit");
 }
 
 void Proxy::Impl::OperationAllowed(TimePoint now, RequestId id) {
@@ -144,18 +148,18 @@
   return held;
 }
 
-/// Whether another instance's caller may be served here: the newer of the two
-/// configurations decides.
-bool Proxy::Impl::AdmitAdopted(const ForwardedStatement& forwarded) const {
-  if (forwarded.config_version >= table_.version) return true;
+/// Whether a caller of another instance may run here, decided by the newer of
+/// the two configurations.
+bool Proxy::Impl::IsAdoptedKeyValid(const ForwardedStatement& forwarded) const {
+  if (forwarded.config_version >= route_table_.version) return true;
   if (forwarded.route.open_to_all) return true;
   return workspaces_.StandsFor(forwarded.key, forwarded.workspace);
 }
 
-/// The one place that every statement passes on its way to a database: it never
-/// runs on a connection of another workspace than its caller's.
-bool Proxy::Impl::BelongsTo(TimePoint now, Connection* connection,
-                            Request* request) {
+/// Refuses a statement that is about to run on a connection of another
+/// workspace, and returns false. Every statement passes this check first.
+bool Proxy::Impl::CheckWorkspace(TimePoint now, Connection* connection,
+                                 Request* request) {
   Caller& caller = callers_.at(request->caller);
   if (connection->workspace == caller.workspace) return true;
   Event(events_, EventWeight::kState, "foreign_connection")
@@ -163,8 +167,8 @@
       .Add("workspace", caller.workspace)
       .Add("connection_of", connection->workspace);
   if (caller.state == TransactionState::kOpen) FailTransaction(now, &caller);
-  Refuse(now, request, ErrorCode::kAborted, std::chrono::milliseconds(0),
-         "foreign_connection");
+  RefuseRequest(now, request, ErrorCode::kAborted, std::chrono::milliseconds(0),
+                "foreign_connection");
   return false;
 }
 
--- a/testsuite/session_proxy/proxy_test.cc
+++ b/testsuite/session_proxy/proxy_test.cc
@@ -46,7 +46,7 @@
     EXPECT_EQ(database.status.received, LogPosition());
     EXPECT_EQ(database.applied, LogPosition());
     // The position is unknown, not empty: an election has to wait for a status.
-    EXPECT_EQ(database.status_asked, TimePoint());
+    EXPECT_EQ(database.status_requested_at, TimePoint());
   }
   RunFor(300);
   EXPECT_EQ(Write(0, 1), ErrorCode::kInDoubt);
@@ -87,8 +87,8 @@
   const auto view = hosts_[0]->proxy()->groups(clock_.now()).front();
   for (const auto& database : view.databases) {
     if (database.id != "db-a") continue;
-    EXPECT_NE(database.silent_since, TimePoint());
-    EXPECT_GT(clock_.now() - database.silent_since, milliseconds(2000));
+    EXPECT_NE(database.unanswered_since, TimePoint());
+    EXPECT_GT(clock_.now() - database.unanswered_since, milliseconds(2000));
   }
 }
 
@@ -288,7 +288,9 @@
   fleet_.connection_limit = 53;
   CreateInstances(kInstances);
   size_t entry = 0;
-  while (hosts_[entry]->proxy()->groups(clock_.now()).front().kept) ++entry;
+  while (hosts_[entry]->proxy()->groups(clock_.now()).front().is_keeper) {
+    ++entry;
+  }
   StartSession(entry, 1, "primary");
   ASSERT_EQ(Execute(entry, 1, StatementKind::kBegin, "BEGIN"),
             ErrorCode::kNone);
--- a/testsuite/support/session/instance_host.h
+++ b/testsuite/support/session/instance_host.h
@@ -305,7 +305,8 @@
       if (!caller.has_value()) return;
       keeper_host->adopted_.Erase(*caller);
       keeper_host->pending_answers_.erase(*caller);
-      keeper_host->proxy_->CallerGone(keeper_host->clock_->now(), *caller);
+      keeper_host->proxy_->CallerDisconnected(keeper_host->clock_->now(),
+                                              *caller);
     });
   }
   void AnswerForwarded(CallerId caller, const Reply& reply) override {
@@ -317,7 +318,7 @@
     if (reply.state == TransactionState::kOpen) return;
     adopted_.Erase(caller);
     clock_->After(milliseconds(0), [this, caller, boot = boot_] {
-      if (boot == boot_) proxy_->CallerGone(clock_->now(), caller);
+      if (boot == boot_) proxy_->CallerDisconnected(clock_->now(), caller);
     });
   }
 
@@ -328,7 +329,7 @@
         adopted_.Enter(statement.session, statement.in_transaction);
     if (entry.abandoned != 0) {
       pending_answers_.erase(entry.abandoned);
-      proxy_->CallerGone(clock_->now(), entry.abandoned);
+      proxy_->CallerDisconnected(clock_->now(), entry.abandoned);
     }
     pending_answers_[entry.caller] = std::move(on_reply);
     proxy_->AdoptStatement(clock_->now(), entry.caller, statement);
