--- a/src/bench/control.cc
+++ b/src/bench/control.cc
@@ -67,7 +67,7 @@
                 fleet_->node(0).documents().size(), ready_ ? "yes" : "NO");
     std::printf("  memory of one instance's control part: %.0f KB\n",
                 memory_ / 1024);
-    const std::string list = wire::WriteInstances(1, fleet_->Everybody());
+    const std::string list = wire::WriteInstances(1, fleet_->AllMembers());
     std::printf("  the platform's whole list: %zu bytes of JSON\n",
                 list.size());
   }
@@ -95,11 +95,11 @@
     std::printf("  one change: in force on all after %.2f s (worst of 10)\n",
                 worst);
     const TimePoint begin = fleet_->now();
-    fleet_->Count(0, head());
-    fleet_->RunUntil([&] { return !fleet_->counted.empty(); }, 30s);
+    fleet_->RequestInForceCount(0, head());
+    fleet_->RunUntil([&] { return !fleet_->in_force_counts.empty(); }, 30s);
     std::printf("  count of a revision: %zu of %zu in %.2f s\n",
-                fleet_->counted.back().in_force,
-                fleet_->counted.back().instances, Since(begin));
+                fleet_->in_force_counts.back().in_force,
+                fleet_->in_force_counts.back().instances, Since(begin));
   }
 
   void Burst(bool one_instance) {
@@ -148,14 +148,14 @@
           return !keepers.empty() && keepers.front() % options_.domains == 0;
         }));
     size_t moves = 0;
-    fleet_->on_duty = [&](size_t, const std::string&, bool keep) {
+    fleet_->on_keeper_change = [&](size_t, const std::string&, bool keep) {
       if (keep) ++moves;
     };
     meter_->Reset();
     const TimePoint begin = fleet_->now();
     // Silence, not refusal: the machines themselves are gone.
     for (size_t i = 0; i < fleet_->size(); i += options_.domains) {
-      fleet_->Freeze(i);
+      fleet_->Pause(i);
     }
     Traffic traffic(fleet_.get());
     traffic.Start(std::max(1ms, 1000ms / static_cast<int>(groups_.size())), 10s,
@@ -171,9 +171,10 @@
         "requests: %lu served, %lu later than 100 ms, worst %.1f s, %lu "
         "refused\n",
         moves, meter_->bytes(), meter_->worst_bytes(), traffic.served,
-        traffic.delayed, static_cast<double>(traffic.worst.count()) / 1000,
+        traffic.delayed,
+        static_cast<double>(traffic.max_latency.count()) / 1000,
         traffic.refused);
-    fleet_->on_duty = nullptr;
+    fleet_->on_keeper_change = nullptr;
   }
 
  private:
@@ -240,12 +241,12 @@
     SetList(target, false);
     fleet_->Run(1s);
     fleet_->Start(target);
-    fleet_->platform.SetMembers(fleet_->Everybody());
+    fleet_->platform.SetMembers(fleet_->AllMembers());
     fleet_->Run(6s);
   }
 
   void SetList(size_t target, bool leaving) {
-    std::vector<Member> members = fleet_->Everybody();
+    std::vector<Member> members = fleet_->AllMembers();
     const std::string name = fleet_->at(target).name;
     for (Member& member : members) {
       if (member.name == name) member.state = mem::MemberState::kLeaving;
@@ -260,7 +261,7 @@
     return std::all_of(groups_.begin(), groups_.end(), [&](const auto& group) {
       const auto keepers = fleet_->KeepersOf(group);
       return std::any_of(keepers.begin(), keepers.end(),
-                         [&](size_t i) { return !fleet_->at(i).frozen; });
+                         [&](size_t i) { return !fleet_->at(i).paused; });
     });
   }
 
--- a/src/include/ryefold/core/configuration/messages.h
+++ b/src/include/ryefold/core/configuration/messages.h
@@ -50,7 +50,7 @@
 };
 
 /// The synchronization state of one instance: what it holds and what it needs.
-struct Standing {
+struct SyncState {
   uint64_t revision = 0;
   uint64_t list_version = 0;
   /// Whether the sender holds a complete state, of any age.
@@ -74,14 +74,14 @@
 /// a side that is known to lack them.
 struct Exchange {
   std::string from;
-  Standing standing;
+  SyncState sync_state;
   DocumentBlock documents;
   MemberBlock members;
   std::vector<Notice> notices;
 };
 
 struct ExchangeReply {
-  Standing standing;
+  SyncState sync_state;
   DocumentBlock documents;
   MemberBlock members;
 };
@@ -89,11 +89,11 @@
 /// Asks whether `revision` is in force on the receiver and on `others`, which
 /// the receiver queries as a delegate. No instance sends more than a few dozen
 /// queries.
-struct ForceQuery {
+struct InForceQuery {
   uint64_t revision = 0;
   std::vector<std::string> others;
 };
-struct ForceReply {
+struct InForceReply {
   /// Number of instances, including the receiver, on which the revision is in
   /// force.
   uint64_t in_force = 0;
@@ -111,8 +111,8 @@
   std::vector<std::string> keeping;
 };
 
-using PeerRequest = std::variant<Exchange, ForceQuery, DutyCheck>;
-using PeerAnswer = std::variant<ExchangeReply, ForceReply, DutyReply>;
+using PeerRequest = std::variant<Exchange, InForceQuery, DutyCheck>;
+using PeerAnswer = std::variant<ExchangeReply, InForceReply, DutyReply>;
 
 // ---- in the store ----
 
--- a/src/include/ryefold/core/configuration/node.h
+++ b/src/include/ryefold/core/configuration/node.h
@@ -94,7 +94,7 @@
 struct StoreFailed {
   CallId call = 0;
 };
-/// A peer's Exchange or ForceQuery. The node answers with a ReplyToPeer that
+/// A peer's Exchange or InForceQuery. The node answers with a ReplyToPeer that
 /// carries the same tag.
 struct PeerCalled {
   Tag tag = 0;
@@ -107,7 +107,7 @@
 struct PeerFailed {
   CallId call = 0;
 };
-struct PublishArrived {
+struct PublishRequested {
   Tag tag = 0;
   Change change;
   TimePoint deadline;
@@ -117,12 +117,12 @@
   bool repeat = false;
 };
 /// Requests the number of instances on which `revision` is in force.
-struct ForceArrived {
+struct InForceRequested {
   Tag tag = 0;
   uint64_t revision = 0;
   TimePoint deadline;
 };
-struct HistoryArrived {
+struct HistoryRequested {
   Tag tag = 0;
   std::string key;
   size_t limit = 20;
@@ -130,9 +130,10 @@
 };
 struct Tick {};
 
-using Event = std::variant<Started, Leaving, StoreAnswered, StoreFailed,
-                           PeerCalled, PeerAnswered, PeerFailed, PublishArrived,
-                           ForceArrived, HistoryArrived, Tick>;
+using Event =
+    std::variant<Started, Leaving, StoreAnswered, StoreFailed, PeerCalled,
+                 PeerAnswered, PeerFailed, PublishRequested, InForceRequested,
+                 HistoryRequested, Tick>;
 
 // ---- actions: output of the node ----
 
@@ -185,7 +186,7 @@
   size_t instances = 0;
   std::vector<Conflict> conflicts;
 };
-struct ForceDone {
+struct InForceDone {
   Tag tag = 0;
   uint64_t revision = 0;
   size_t in_force = 0;
@@ -211,7 +212,7 @@
 struct MembersChanged {};
 
 using Action =
-    std::variant<StoreCall, CallPeer, ReplyToPeer, PublishDone, ForceDone,
+    std::variant<StoreCall, CallPeer, ReplyToPeer, PublishDone, InForceDone,
                  HistoryDone, DocumentsChanged, MembersChanged>;
 
 struct NodeOptions {
@@ -284,7 +285,7 @@
   /// Returns whether the documents are known to be current. False until a
   /// complete state is loaded, and after `contact_timeout` without contact to
   /// the store or a peer.
-  bool ready(TimePoint now) const;
+  bool IsReady(TimePoint now) const;
 
   uint64_t revision() const;
   /// Returns all documents by key. Deleted ones are included without text.
--- a/src/libcore/configuration/archive.cc
+++ b/src/libcore/configuration/archive.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 void HistoryReader::HandleRequest(TimePoint now,
-                                  const HistoryArrived& request) {
+                                  const HistoryRequested& request) {
   const uint64_t id = next_id_++;
   scans_[id] = {request.tag, request.key, request.limit, request.deadline, {}};
   ReadVersion(now, id, context_->documents.VersionOf(request.key));
--- a/src/libcore/configuration/archive.h
+++ b/src/libcore/configuration/archive.h
@@ -19,7 +19,7 @@
  public:
   explicit HistoryReader(Context* context) : context_(context) {}
 
-  void HandleRequest(TimePoint now, const HistoryArrived& request);
+  void HandleRequest(TimePoint now, const HistoryRequested& request);
   void Tick(TimePoint now);
   TimePoint next_deadline() const;
 
--- a/src/libcore/configuration/census.cc
+++ b/src/libcore/configuration/census.cc
@@ -37,7 +37,8 @@
          context_->documents.revision() >= revision;
 }
 
-void InForceCounter::HandleRequest(TimePoint now, const ForceArrived& request) {
+void InForceCounter::HandleRequest(TimePoint now,
+                                   const InForceRequested& request) {
   Names unconfirmed;
   uint64_t confirmed = 0;
   for (const std::string& name : context_->other_instances()) {
@@ -53,7 +54,7 @@
   StartRound(now, request.revision, unconfirmed, timeout,
              [this, tag = request.tag, confirmed, here, instances,
               revision = request.revision](TimePoint, const Result& result) {
-               ForceDone done;
+               InForceDone done;
                done.tag = tag;
                done.revision = revision;
                done.in_force = result.in_force + confirmed + (here ? 1 : 0);
@@ -69,13 +70,13 @@
 }
 
 void InForceCounter::HandleQuery(TimePoint now, Tag tag,
-                                 const ForceQuery& query) {
+                                 const InForceQuery& query) {
   const milliseconds timeout =
       context_->options.peer_timeout * (kDelegateTimeoutFactor - 1);
   StartRound(
       now, query.revision, query.others, timeout,
       [this, tag, revision = query.revision](TimePoint, const Result& result) {
-        ForceReply reply{result.in_force, result.missing};
+        InForceReply reply{result.in_force, result.missing};
         if (IsInForceHere(revision)) {
           ++reply.in_force;
         } else {
@@ -108,7 +109,7 @@
       names.erase(names.begin());
       continue;
     }
-    ForceQuery query;
+    InForceQuery query;
     query.revision = round.revision;
     query.others.assign(std::next(names.begin()), names.end());
     const uint64_t query_id = next_id_++;
@@ -134,7 +135,7 @@
   Round& round = found->second;
   Names names = std::move(round.queried.extract(query_id).mapped());
   const auto* reply =
-      answer == nullptr ? nullptr : std::get_if<ForceReply>(answer);
+      answer == nullptr ? nullptr : std::get_if<InForceReply>(answer);
   if (reply != nullptr) {
     round.result.in_force += reply->in_force;
     Append(reply->missing, &round.result.missing);
--- a/src/libcore/configuration/census.h
+++ b/src/libcore/configuration/census.h
@@ -20,9 +20,9 @@
   explicit InForceCounter(Context* context) : context_(context) {}
 
   /// Handles an operator's request for the whole fleet.
-  void HandleRequest(TimePoint now, const ForceArrived& request);
+  void HandleRequest(TimePoint now, const InForceRequested& request);
   /// Handles a peer's query for this instance and those named in the query.
-  void HandleQuery(TimePoint now, Tag tag, const ForceQuery& query);
+  void HandleQuery(TimePoint now, Tag tag, const InForceQuery& query);
   void Tick(TimePoint now);
   TimePoint next_deadline() const;
 
--- a/src/libcore/configuration/context.cc
+++ b/src/libcore/configuration/context.cc
@@ -162,32 +162,32 @@
          options.contact_timeout;
 }
 
-Standing Context::CurrentSyncState(TimePoint now) const {
-  Standing standing;
-  standing.revision = documents.revision();
-  standing.list_version = members.version();
-  standing.known = documents.IsLoaded();
-  standing.ready = IsReady(now);
-  standing.store_age = std::chrono::duration_cast<std::chrono::milliseconds>(
+SyncState Context::CurrentSyncState(TimePoint now) const {
+  SyncState sync_state;
+  sync_state.revision = documents.revision();
+  sync_state.list_version = members.version();
+  sync_state.known = documents.IsLoaded();
+  sync_state.ready = IsReady(now);
+  sync_state.store_age = std::chrono::duration_cast<std::chrono::milliseconds>(
       now - last_fleet_store_contact);
-  standing.have_documents = documents.received_through();
-  return standing;
+  sync_state.have_documents = documents.received_through();
+  return sync_state;
 }
 
 void Context::RecordPeerState(TimePoint now, const std::string& name,
-                              const Standing& standing) {
+                              const SyncState& sync_state) {
   // A peer without a complete state does not count as contact: an outdated and
   // a new instance that are both isolated from all others would otherwise
   // consider each other ready. A peer that has one counts even if it is not
   // ready; otherwise a fleet that lost contact briefly during a store outage
   // could never become ready again.
-  if (standing.known) last_peer_contact = now;
+  if (sync_state.known) last_peer_contact = now;
   last_fleet_store_contact =
-      std::max(last_fleet_store_contact, now - standing.store_age);
-  if (!name.empty()) peers[name].revision = standing.revision;
+      std::max(last_fleet_store_contact, now - sync_state.store_age);
+  if (!name.empty()) peers[name].revision = sync_state.revision;
   // Only a ready peer can confirm an empty or old state. A ready peer at the
   // same revision confirms the local state.
-  if (standing.ready && standing.revision == documents.revision()) {
+  if (sync_state.ready && sync_state.revision == documents.revision()) {
     documents.MarkLoaded();
   }
 }
--- a/src/libcore/configuration/context.h
+++ b/src/libcore/configuration/context.h
@@ -54,7 +54,7 @@
 
   // ---- peers and members ----
   bool IsReady(TimePoint now) const;
-  Standing CurrentSyncState(TimePoint now) const;
+  SyncState CurrentSyncState(TimePoint now) const;
   /// Live instances other than this one, ordered by name.
   const std::vector<std::string>& other_instances() const {
     return other_instances_;
@@ -68,7 +68,7 @@
   /// Position of this instance in the order of store watchers.
   size_t StoreRank() const { return store_rank_; }
   void RecordPeerState(TimePoint now, const std::string& name,
-                       const Standing& standing);
+                       const SyncState& sync_state);
 
   uint64_t RandomBelow(uint64_t below) {
     return below == 0 ? 0 : random_() % below;
--- a/src/libcore/configuration/gossip.cc
+++ b/src/libcore/configuration/gossip.cc
@@ -80,10 +80,10 @@
 Exchange Gossip::MakeExchange(TimePoint now, const std::string& name) {
   Exchange exchange;
   exchange.from = context_->options.self.name;
-  exchange.standing = context_->CurrentSyncState(now);
-  exchange.standing.want_documents =
+  exchange.sync_state = context_->CurrentSyncState(now);
+  exchange.sync_state.want_documents =
       fetch_deadline_ <= now || fetch_peer_.empty() || fetch_peer_ == name;
-  exchange.standing.want_members = true;
+  exchange.sync_state.want_members = true;
   return exchange;
 }
 
@@ -181,7 +181,7 @@
       });
 }
 
-void Gossip::FillBlocks(const Standing& peer_state, DocumentBlock* documents,
+void Gossip::FillBlocks(const SyncState& peer_state, DocumentBlock* documents,
                         MemberBlock* members) const {
   const Documents& own = context_->documents;
   const bool behind = peer_state.have_documents < own.revision();
@@ -196,8 +196,8 @@
 }
 
 bool Gossip::ShouldFetchFrom(TimePoint now, const std::string& name,
-                             const Standing& standing) {
-  if (standing.revision <= context_->documents.revision()) return false;
+                             const SyncState& sync_state) {
+  if (sync_state.revision <= context_->documents.revision()) return false;
   const bool fetching_elsewhere =
       fetch_deadline_ > now && !fetch_peer_.empty() && fetch_peer_ != name;
   if (fetching_elsewhere) {
@@ -205,7 +205,7 @@
     return false;
   }
   // Without a state, an instance accepts documents only from a ready peer.
-  if (!context_->documents.IsLoaded() && !standing.ready) return false;
+  if (!context_->documents.IsLoaded() && !sync_state.ready) return false;
   StartFetch(now, name);
   return true;
 }
@@ -225,18 +225,19 @@
 }
 
 void Gossip::ApplyBlocks(TimePoint now, const std::string& from,
-                         const Standing& standing,
+                         const SyncState& sync_state,
                          const DocumentBlock& documents,
                          const MemberBlock& members) {
-  context_->RecordPeerState(now, from, standing);
+  context_->RecordPeerState(now, from, sync_state);
   const bool has_documents = documents.complete || !documents.documents.empty();
-  if (has_documents && (context_->documents.IsLoaded() || standing.ready)) {
+  if (has_documents && (context_->documents.IsLoaded() || sync_state.ready)) {
     context_->ReportChangedKeys(
-        context_->documents.Merge(standing.revision, documents));
+        context_->documents.Merge(sync_state.revision, documents));
   }
   const bool has_members =
       members.full || !members.changed.empty() || !members.removed.empty();
-  if (has_members && context_->members.Merge(standing.list_version, members)) {
+  if (has_members &&
+      context_->members.Merge(sync_state.list_version, members)) {
     context_->ScheduleMemberUpdate(now);
   }
 }
@@ -252,7 +253,7 @@
         next_exchange_, now + context_->WithJitter(
                                   context_->options.exchange_interval * 4 / 3));
   }
-  ApplyBlocks(now, exchange.from, exchange.standing, exchange.documents,
+  ApplyBlocks(now, exchange.from, exchange.sync_state, exchange.documents,
               exchange.members);
   bool has_new_notice = false;
   for (const Notice& notice : exchange.notices) {
@@ -262,23 +263,23 @@
   }
   if (has_new_notice) context_->ScheduleMemberUpdate(now);
   ExchangeReply reply;
-  reply.standing = context_->CurrentSyncState(now);
-  reply.standing.want_documents =
-      ShouldFetchFrom(now, exchange.from, exchange.standing);
-  reply.standing.want_members =
-      exchange.standing.list_version > context_->members.version();
-  FillBlocks(exchange.standing, &reply.documents, &reply.members);
+  reply.sync_state = context_->CurrentSyncState(now);
+  reply.sync_state.want_documents =
+      ShouldFetchFrom(now, exchange.from, exchange.sync_state);
+  reply.sync_state.want_members =
+      exchange.sync_state.list_version > context_->members.version();
+  FillBlocks(exchange.sync_state, &reply.documents, &reply.members);
   return reply;
 }
 
 void Gossip::HandleReply(TimePoint now, const std::string& name,
                          const std::string& address,
                          const ExchangeReply& reply) {
-  ApplyBlocks(now, name, reply.standing, reply.documents, reply.members);
+  ApplyBlocks(now, name, reply.sync_state, reply.documents, reply.members);
   const bool more = reply.documents.after < reply.documents.through &&
                     !reply.documents.complete;
   Exchange next = MakeExchange(now, name);
-  FillBlocks(reply.standing, &next.documents, &next.members);
+  FillBlocks(reply.sync_state, &next.documents, &next.members);
   const bool documents =
       !next.documents.documents.empty() || next.documents.complete;
   const bool members = !next.members.changed.empty() ||
--- a/src/libcore/configuration/gossip.h
+++ b/src/libcore/configuration/gossip.h
@@ -38,11 +38,11 @@
                    const std::string& address, const ExchangeReply& reply);
   Exchange MakeExchange(TimePoint now, const std::string& name);
   void ApplyBlocks(TimePoint now, const std::string& from,
-                   const Standing& standing, const DocumentBlock& documents,
+                   const SyncState& sync_state, const DocumentBlock& documents,
                    const MemberBlock& members);
   bool ShouldFetchFrom(TimePoint now, const std::string& name,
-                       const Standing& standing);
-  void FillBlocks(const Standing& peer_state, DocumentBlock* documents,
+                       const SyncState& sync_state);
+  void FillBlocks(const SyncState& peer_state, DocumentBlock* documents,
                   MemberBlock* members) const;
   void StartFetch(TimePoint now, const std::string& name);
   void FetchFromNext(TimePoint now);
--- a/src/libcore/configuration/node.cc
+++ b/src/libcore/configuration/node.cc
@@ -68,13 +68,13 @@
   void HandleEvent(TimePoint now, const PeerFailed& event) {
     context_.CompletePeerCall(now, event.call, nullptr);
   }
-  void HandleEvent(TimePoint now, const PublishArrived& event) {
+  void HandleEvent(TimePoint now, const PublishRequested& event) {
     publisher_.HandleRequest(now, event);
   }
-  void HandleEvent(TimePoint now, const ForceArrived& event) {
+  void HandleEvent(TimePoint now, const InForceRequested& event) {
     in_force_counter_.HandleRequest(now, event);
   }
-  void HandleEvent(TimePoint now, const HistoryArrived& event) {
+  void HandleEvent(TimePoint now, const HistoryRequested& event) {
     history_.HandleRequest(now, event);
   }
   void HandleEvent(TimePoint, const Tick&) {}
@@ -104,7 +104,7 @@
   if (const auto* exchange = std::get_if<Exchange>(&event.request)) {
     context_.Emit(
         ReplyToPeer{event.tag, gossip_.HandleExchange(now, *exchange)});
-  } else if (const auto* query = std::get_if<ForceQuery>(&event.request)) {
+  } else if (const auto* query = std::get_if<InForceQuery>(&event.request)) {
     in_force_counter_.HandleQuery(now, event.tag, *query);
   }
 }
@@ -153,7 +153,9 @@
 
 TimePoint Node::next_deadline() const { return impl_->next_deadline(); }
 
-bool Node::ready(TimePoint now) const { return impl_->context().IsReady(now); }
+bool Node::IsReady(TimePoint now) const {
+  return impl_->context().IsReady(now);
+}
 
 uint64_t Node::revision() const {
   return impl_->context().documents.revision();
--- a/src/libcore/configuration/publisher.cc
+++ b/src/libcore/configuration/publisher.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void Publisher::HandleRequest(TimePoint now, const PublishArrived& request) {
+void Publisher::HandleRequest(TimePoint now, const PublishRequested& request) {
   Pending pending;
   pending.tag = request.tag;
   pending.change = request.change;
--- a/src/libcore/configuration/publisher.h
+++ b/src/libcore/configuration/publisher.h
@@ -17,7 +17,7 @@
   Publisher(Context* context, Gossip* gossip)
       : context_(context), gossip_(gossip) {}
 
-  void HandleRequest(TimePoint now, const PublishArrived& request);
+  void HandleRequest(TimePoint now, const PublishRequested& request);
   void Tick(TimePoint now);
   TimePoint next_deadline() const;
   /// Checks for holders after a peer reported its revision.
--- a/src/libwire/exchange_codec.cc
+++ b/src/libwire/exchange_codec.cc
@@ -109,7 +109,7 @@
   return map.Take();
 }
 
-void PutStanding(MapWriter* map, const Standing& standing) {
+void PutStanding(MapWriter* map, const SyncState& standing) {
   map->Put("rev", standing.revision);
   map->Put("list", standing.list_version);
   map->Put("known", standing.known);
@@ -135,7 +135,7 @@
 std::string Encode(const Exchange& exchange) {
   MapWriter map;
   map.Put("from", exchange.from);
-  PutStanding(&map, exchange.standing);
+  PutStanding(&map, exchange.sync_state);
   PutBlocks(&map, exchange.documents, exchange.members);
   PutAll(&map, "notices", exchange.notices);
   return map.Take();
@@ -143,19 +143,19 @@
 
 std::string Encode(const ExchangeReply& reply) {
   MapWriter map;
-  PutStanding(&map, reply.standing);
+  PutStanding(&map, reply.sync_state);
   PutBlocks(&map, reply.documents, reply.members);
   return map.Take();
 }
 
-std::string Encode(const ForceQuery& query) {
+std::string Encode(const InForceQuery& query) {
   MapWriter map;
   map.Put("rev", query.revision);
   map.Put("others", query.others);
   return map.Take();
 }
 
-std::string Encode(const ForceReply& reply) {
+std::string Encode(const InForceReply& reply) {
   MapWriter map;
   map.Put("in_force", reply.in_force);
   map.Put("missing", reply.missing);
@@ -267,7 +267,7 @@
   map.Get("full", &block->full);
 }
 
-void GetStanding(const MapReader& map, Standing* standing) {
+void GetStanding(const MapReader& map, SyncState* standing) {
   map.Get("rev", &standing->revision);
   map.Get("list", &standing->list_version);
   map.Get("known", &standing->known);
@@ -290,24 +290,24 @@
 void Decode(const msgpack::object& object, Exchange* exchange) {
   const MapReader map(object);
   map.Get("from", &exchange->from);
-  GetStanding(map, &exchange->standing);
+  GetStanding(map, &exchange->sync_state);
   GetBlocks(map, &exchange->documents, &exchange->members);
   GetAll(map, "notices", &exchange->notices);
 }
 
 void Decode(const msgpack::object& object, ExchangeReply* reply) {
   const MapReader map(object);
-  GetStanding(map, &reply->standing);
+  GetStanding(map, &reply->sync_state);
   GetBlocks(map, &reply->documents, &reply->members);
 }
 
-void Decode(const msgpack::object& object, ForceQuery* query) {
+void Decode(const msgpack::object& object, InForceQuery* query) {
   const MapReader map(object);
   map.Get("rev", &query->revision);
   map.Get("others", &query->others);
 }
 
-void Decode(const msgpack::object& object, ForceReply* reply) {
+void Decode(const msgpack::object& object, InForceReply* reply) {
   const MapReader map(object);
   map.Get("in_force", &reply->in_force);
   map.Get("missing", &reply->missing);
@@ -339,7 +339,7 @@
 
 std::string_view PathOf(const PeerRequest& request) {
   if (std::holds_alternative<Exchange>(request)) return kPeerExchange;
-  if (std::holds_alternative<ForceQuery>(request)) return kPeerForce;
+  if (std::holds_alternative<InForceQuery>(request)) return kPeerForce;
   return kPeerDuty;
 }
 
@@ -350,7 +350,7 @@
 std::optional<PeerRequest> ReadPeerControlRequest(std::string_view path,
                                                   std::string_view body) {
   if (path == kPeerExchange) return Read<Exchange, PeerRequest>(body);
-  if (path == kPeerForce) return Read<ForceQuery, PeerRequest>(body);
+  if (path == kPeerForce) return Read<InForceQuery, PeerRequest>(body);
   if (path == kPeerDuty) return Read<DutyCheck, PeerRequest>(body);
   return std::nullopt;
 }
@@ -362,7 +362,7 @@
 std::optional<PeerAnswer> ReadPeerControlAnswer(std::string_view path,
                                                 std::string_view body) {
   if (path == kPeerExchange) return Read<ExchangeReply, PeerAnswer>(body);
-  if (path == kPeerForce) return Read<ForceReply, PeerAnswer>(body);
+  if (path == kPeerForce) return Read<InForceReply, PeerAnswer>(body);
   if (path == kPeerDuty) return Read<DutyReply, PeerAnswer>(body);
   return std::nullopt;
 }
--- a/src/ryefoldd/admin_codec.cc
+++ b/src/ryefoldd/admin_codec.cc
@@ -228,7 +228,7 @@
   return ToText(value);
 }
 
-std::string WriteForce(const core::configuration::ForceDone& done) {
+std::string WriteForce(const core::configuration::InForceDone& done) {
   Json::Value value;
   value["revision"] = Number(done.revision);
   value["in_force"] = Number(done.in_force);
--- a/src/ryefoldd/admin_codec.h
+++ b/src/ryefoldd/admin_codec.h
@@ -31,7 +31,7 @@
     const std::map<std::string, core::configuration::Document>& documents,
     const std::string& prefix);
 std::string WritePublished(const core::configuration::PublishDone& done);
-std::string WriteForce(const core::configuration::ForceDone& done);
+std::string WriteForce(const core::configuration::InForceDone& done);
 std::string WriteHistory(const core::configuration::HistoryDone& done);
 
 /// What GET /v1/admin/status tells of one instance.
--- a/src/ryefoldd/control_admin.cc
+++ b/src/ryefoldd/control_admin.cc
@@ -65,15 +65,15 @@
                       wire::ToJson(findings) + "}");
       return;
     }
-    DriveNode(configuration::PublishArrived{asked.tag, std::move(call.change),
-                                            now + kPublishTime, call.repeat});
+    DriveNode(configuration::PublishRequested{asked.tag, std::move(call.change),
+                                              now + kPublishTime, call.repeat});
   } else if (path == "/v1/admin/force") {
     const uint64_t revision = std::strtoull(asked.query_revision.c_str(),
                                             /*endptr=*/nullptr, /*base=*/10);
     DriveNode(
-        configuration::ForceArrived{asked.tag, revision, now + kForceTime});
+        configuration::InForceRequested{asked.tag, revision, now + kForceTime});
   } else if (path == "/v1/admin/history") {
-    configuration::HistoryArrived history;
+    configuration::HistoryRequested history;
     history.tag = asked.tag;
     history.key = asked.query_key;
     history.deadline = now + kHistoryTime;
@@ -129,7 +129,7 @@
   if (const auto* done = std::get_if<configuration::PublishDone>(&action)) {
     AnswerAdmin(done->tag, StatusOf(done->status), WritePublished(*done));
   } else if (const auto* force =
-                 std::get_if<configuration::ForceDone>(&action)) {
+                 std::get_if<configuration::InForceDone>(&action)) {
     AnswerAdmin(force->tag, kOk, WriteForce(*force));
   } else if (const auto* history =
                  std::get_if<configuration::HistoryDone>(&action)) {
--- a/src/ryefoldd/control_task.cc
+++ b/src/ryefoldd/control_task.cc
@@ -279,7 +279,7 @@
 }
 
 void ControlTask::ShareReadiness() {
-  const bool ready = node_->ready(Now()) && catalog_ != nullptr;
+  const bool ready = node_->IsReady(Now()) && catalog_ != nullptr;
   if (ready == ready_) return;
   ready_ = ready;
   LOG(INFO) << "event=" << (ready ? "ready" : "not_ready")
--- a/testsuite/configuration_codec/codec_test.cc
+++ b/testsuite/configuration_codec/codec_test.cc
@@ -31,8 +31,8 @@
 Exchange SomeExchange() {
   Exchange exchange;
   exchange.from = "i0001";
-  exchange.standing = {7, 9,    true, true, std::chrono::milliseconds(250),
-                       5, true, true};
+  exchange.sync_state = {7, 9,    true, true, std::chrono::milliseconds(250),
+                         5, true, true};
   Document document{
       "template/t",        3,
       "text \"quoted\"\n", "c1",
@@ -51,9 +51,9 @@
   ASSERT_TRUE(read.has_value());
   const auto& decoded = std::get<Exchange>(*read);
   EXPECT_EQ(decoded.from, exchange.from);
-  EXPECT_EQ(decoded.standing.revision, 7U);
-  EXPECT_EQ(decoded.standing.have_documents, 5U);
-  EXPECT_EQ(decoded.standing.store_age, std::chrono::milliseconds(250));
+  EXPECT_EQ(decoded.sync_state.revision, 7U);
+  EXPECT_EQ(decoded.sync_state.have_documents, 5U);
+  EXPECT_EQ(decoded.sync_state.store_age, std::chrono::milliseconds(250));
   EXPECT_EQ(decoded.documents.documents, exchange.documents.documents);
   EXPECT_TRUE(decoded.documents.complete);
   EXPECT_EQ(decoded.members.changed, exchange.members.changed);
@@ -63,7 +63,7 @@
 }
 
 TEST(ExchangeCodec, OtherMessagesRoundTrip) {
-  const std::vector<PeerRequest> requests = {ForceQuery{4, {"a", "b"}},
+  const std::vector<PeerRequest> requests = {InForceQuery{4, {"a", "b"}},
                                              DutyCheck{{"g1", "g2"}}};
   for (const PeerRequest& request : requests) {
     const std::string body = WritePeerRequest(request);
@@ -74,7 +74,7 @@
   const std::vector<std::pair<std::string_view, PeerAnswer>> answers = {
       {kPeerExchange,
        ExchangeReply{{1, 2, true, true, {}, 1, false, true}, {}, {}}},
-      {kPeerForce, ForceReply{3, {"x"}}},
+      {kPeerForce, InForceReply{3, {"x"}}},
       {kPeerDuty, DutyReply{{"g1"}}}};
   for (const auto& [path, answer] : answers) {
     const std::string body = WritePeerAnswer(answer);
@@ -94,8 +94,8 @@
       23);
   const auto read = ReadPeerControlRequest(kPeerForce, body);
   ASSERT_TRUE(read.has_value());
-  EXPECT_EQ(std::get<ForceQuery>(*read).revision, 4U);
-  EXPECT_EQ(std::get<ForceQuery>(*read).others.size(), 1U);
+  EXPECT_EQ(std::get<InForceQuery>(*read).revision, 4U);
+  EXPECT_EQ(std::get<InForceQuery>(*read).others.size(), 1U);
 }
 
 // A truncated message is rejected. A message with a corrupted byte is rejected
--- a/testsuite/configuration_outage/outage_test.cc
+++ b/testsuite/configuration_outage/outage_test.cc
@@ -61,9 +61,9 @@
   fleet_->Kill(3);
   fleet_->Run(5s);
   fleet_->Start(3);
-  EXPECT_FALSE(fleet_->node(3).ready(fleet_->now()));
+  EXPECT_FALSE(fleet_->node(3).IsReady(fleet_->now()));
   EXPECT_TRUE(fleet_->RunUntil(
-      [&] { return fleet_->node(3).ready(fleet_->now()); }, 2s));
+      [&] { return fleet_->node(3).IsReady(fleet_->now()); }, 2s));
   EXPECT_EQ(fleet_->node(3).revision(), 5U);
   EXPECT_EQ(fleet_->node(3).members().size(), 8U);
 }
@@ -80,7 +80,7 @@
     fleet_->Run(2s);
     fleet_->Start(i);
     EXPECT_TRUE(fleet_->RunUntil(
-        [&] { return fleet_->node(i).ready(fleet_->now()); }, 3s));
+        [&] { return fleet_->node(i).IsReady(fleet_->now()); }, 3s));
     EXPECT_EQ(fleet_->node(i).revision(), 5U);
   }
 }
@@ -93,7 +93,7 @@
   fleet_->platform.down = true;
   fleet_->Run(30s);
   for (size_t i = 0; i < fleet_->size(); ++i) {
-    EXPECT_FALSE(fleet_->node(i).ready(fleet_->now()));
+    EXPECT_FALSE(fleet_->node(i).IsReady(fleet_->now()));
   }
   fleet_->platform.down = false;
   EXPECT_TRUE(fleet_->RunUntil([&] { return fleet_->AllReady(); }, 8s));
@@ -105,12 +105,12 @@
   StartFleet({});
   PublishMany(1);
   for (size_t i = 0; i < fleet_->size(); ++i) {
-    if (i != 2) fleet_->Cut(2, i);
+    if (i != 2) fleet_->Disconnect(2, i);
   }
   fleet_->DisconnectFromStore(2);
   fleet_->Run(10s);
-  EXPECT_FALSE(fleet_->node(2).ready(fleet_->now()));
-  fleet_->Heal();
+  EXPECT_FALSE(fleet_->node(2).IsReady(fleet_->now()));
+  fleet_->ReconnectAll();
   PublishMany(1);
   EXPECT_TRUE(fleet_->RunUntil([&] { return fleet_->AllReady(); }, 3s));
   EXPECT_TRUE(
@@ -124,8 +124,8 @@
   StartFleet({});
   PublishMany(1);
   for (size_t i = 0; i < fleet_->size(); ++i) {
-    if (i != 2 && i != 3) fleet_->Cut(2, i);
-    if (i != 2 && i != 3) fleet_->Cut(3, i);
+    if (i != 2 && i != 3) fleet_->Disconnect(2, i);
+    if (i != 2 && i != 3) fleet_->Disconnect(3, i);
   }
   fleet_->DisconnectFromStore(2);
   fleet_->DisconnectFromStore(3);
@@ -133,8 +133,8 @@
   fleet_->Run(60s);
   fleet_->Start(3);
   fleet_->Run(30s);
-  EXPECT_FALSE(fleet_->node(2).ready(fleet_->now()));
-  EXPECT_FALSE(fleet_->node(3).ready(fleet_->now()));
+  EXPECT_FALSE(fleet_->node(2).IsReady(fleet_->now()));
+  EXPECT_FALSE(fleet_->node(3).IsReady(fleet_->now()));
 }
 
 // While the store is down, all instances lose contact to each other for ten
@@ -147,11 +147,11 @@
   fleet_->Run(2s);
   fleet_->platform.down = true;
   for (size_t a = 0; a < fleet_->size(); ++a) {
-    for (size_t b = 0; b < a; ++b) fleet_->Cut(a, b);
+    for (size_t b = 0; b < a; ++b) fleet_->Disconnect(a, b);
   }
   fleet_->Run(10s);
-  EXPECT_FALSE(fleet_->node(1).ready(fleet_->now()));
-  fleet_->Heal();
+  EXPECT_FALSE(fleet_->node(1).IsReady(fleet_->now()));
+  fleet_->ReconnectAll();
   EXPECT_TRUE(fleet_->RunUntil([&] { return fleet_->AllReady(); }, 5s));
 }
 
@@ -162,7 +162,7 @@
   StartFleet({});
   for (size_t isolated = 0; isolated < fleet_->size(); ++isolated) {
     for (size_t i = 0; i < fleet_->size(); ++i) {
-      if (i != isolated) fleet_->Cut(isolated, i);
+      if (i != isolated) fleet_->Disconnect(isolated, i);
     }
     fleet_->Run(6s);
     const uint64_t before = LastRevision();
@@ -173,8 +173,8 @@
     ASSERT_TRUE(fleet_->RunUntilAnswered(tag));
     EXPECT_TRUE(fleet_->RunUntil(
         [&] { return fleet_->node(isolated).revision() == before + 1; }, 2s));
-    EXPECT_TRUE(fleet_->node(isolated).ready(fleet_->now()));
-    fleet_->Heal();
+    EXPECT_TRUE(fleet_->node(isolated).IsReady(fleet_->now()));
+    fleet_->ReconnectAll();
     fleet_->Run(2s);
   }
 }
@@ -211,7 +211,7 @@
     fleet_->Run(1s);
     fleet_->Start(3);
     EXPECT_TRUE(fleet_->RunUntil(
-        [&] { return fleet_->node(3).ready(fleet_->now()); }, 3s));
+        [&] { return fleet_->node(3).IsReady(fleet_->now()); }, 3s));
     EXPECT_EQ(fleet_->node(3).revision(), 40U);
   }
 }
@@ -227,26 +227,26 @@
   PublishMany(40, std::string(500, 'x'));
   fleet_->Run(2s);
   for (size_t i = 0; i < fleet_->size(); ++i) {
-    if (i != 4) fleet_->Cut(4, i);
+    if (i != 4) fleet_->Disconnect(4, i);
     if (i != 4) fleet_->DisconnectFromStore(i);
   }
   fleet_->Publish(4, ChangeOf("ahead", "group/g", 0, "ahead"), 1s);
   fleet_->Run(1s);
   ASSERT_EQ(fleet_->node(4).revision(), 41U);
   fleet_->platform.down = true;
-  fleet_->Heal();
+  fleet_->ReconnectAll();
   fleet_->Kill(3);
   for (size_t i = 0; i < fleet_->size(); ++i) {
-    if (i != 3 && i != 4) fleet_->Cut(3, i);
-    if (i != 3 && i != 4) fleet_->Cut(4, i);
+    if (i != 3 && i != 4) fleet_->Disconnect(3, i);
+    if (i != 3 && i != 4) fleet_->Disconnect(4, i);
   }
   fleet_->Start(3);
   fleet_->Run(60ms);
   EXPECT_EQ(fleet_->node(3).revision(), 0U);
   fleet_->Kill(4);
-  fleet_->Heal();
+  fleet_->ReconnectAll();
   EXPECT_TRUE(fleet_->RunUntil(
-      [&] { return fleet_->node(3).ready(fleet_->now()); }, 10s));
+      [&] { return fleet_->node(3).IsReady(fleet_->now()); }, 10s));
   EXPECT_EQ(fleet_->node(3).revision(), 40U);
 }
 
@@ -268,11 +268,11 @@
   EXPECT_GT(first.first, 0U);
   fleet_->Kill(5);
   for (size_t i = 0; i < fleet_->size(); ++i) {
-    if (i != 5) fleet_->Cut(5, i);
+    if (i != 5) fleet_->Disconnect(5, i);
   }
   fleet_->Start(5);
   EXPECT_TRUE(fleet_->RunUntil(
-      [&] { return fleet_->node(5).ready(fleet_->now()); }, 5s));
+      [&] { return fleet_->node(5).IsReady(fleet_->now()); }, 5s));
   EXPECT_EQ(fleet_->node(5).revision(), 48U);
 }
 
@@ -284,7 +284,7 @@
   options.node.changes_per_snapshot = 10;
   StartFleet(options);
   for (size_t i = 0; i < fleet_->size(); ++i) {
-    if (i != 5) fleet_->Cut(5, i);
+    if (i != 5) fleet_->Disconnect(5, i);
   }
   fleet_->DisconnectFromStore(5);
   next_ = 1;
@@ -297,9 +297,9 @@
     }
     fleet_->Run(25s);
   }
-  fleet_->Heal();
+  fleet_->ReconnectAll();
   for (size_t i = 0; i < fleet_->size(); ++i) {
-    if (i != 5) fleet_->Cut(5, i);
+    if (i != 5) fleet_->Disconnect(5, i);
   }
   const auto tag = fleet_->Publish(5, ChangeOf("late", "group/g", 0, "late"));
   EXPECT_TRUE(
@@ -307,7 +307,7 @@
   ASSERT_TRUE(fleet_->RunUntilAnswered(tag));
   EXPECT_TRUE(fleet_->RunUntil(
       [&] { return fleet_->node(5).revision() == LastRevision(); }, 15s));
-  fleet_->Heal();
+  fleet_->ReconnectAll();
   fleet_->Run(5s);
   size_t found = 0;
   for (const auto& [revision, change] : fleet_->platform.log()) {
@@ -327,7 +327,7 @@
   PublishMany(3);
   fleet_->Run(2s);
   for (size_t i = 0; i < fleet_->size(); ++i) {
-    if (i != 5) fleet_->Cut(5, i);
+    if (i != 5) fleet_->Disconnect(5, i);
   }
   fleet_->DisconnectFromStore(5);
   for (int round = 0; round < 4; ++round) {
@@ -340,9 +340,9 @@
     fleet_->Run(25s);
   }
   EXPECT_EQ(fleet_->node(5).revision(), 3U);
-  fleet_->Heal();
+  fleet_->ReconnectAll();
   for (size_t i = 0; i < fleet_->size(); ++i) {
-    if (i != 5) fleet_->Cut(5, i);
+    if (i != 5) fleet_->Disconnect(5, i);
   }
   EXPECT_TRUE(fleet_->RunUntil(
       [&] { return fleet_->node(5).revision() == LastRevision(); }, 15s));
@@ -352,7 +352,7 @@
 // for half an hour. The instance must stay in the member lists of the others.
 TEST_F(Outage, AnInstanceThatTheListOmitsStaysAMember) {
   StartFleet({});
-  std::vector<Member> wrong = fleet_->Everybody();
+  std::vector<Member> wrong = fleet_->AllMembers();
   wrong.erase(wrong.begin() + 3);
   fleet_->platform.SetMembers(wrong);
   fleet_->Kill(3);
@@ -370,7 +370,7 @@
 // do. Changes still reach all instances.
 TEST_F(Outage, ChangesReachAllInstancesDespiteAWrongList) {
   StartFleet({});
-  std::vector<Member> wrong = fleet_->Everybody();
+  std::vector<Member> wrong = fleet_->AllMembers();
   wrong.erase(wrong.begin() + 1, wrong.begin() + 3);
   for (int i = 0; i < 4; ++i) {
     Member unknown = wrong.front();
--- a/testsuite/configuration_publish/publish_test.cc
+++ b/testsuite/configuration_publish/publish_test.cc
@@ -127,7 +127,7 @@
   fleet_.platform.down = true;
   EXPECT_EQ(WaitForStatus(first), PublishStatus::kUnknown);
   fleet_.platform.down = false;
-  fleet_.Heal();
+  fleet_.ReconnectAll();
   const auto second = fleet_.Publish(7, change);
   EXPECT_EQ(WaitForStatus(second), PublishStatus::kAccepted);
   fleet_.Run(10s);
@@ -236,7 +236,7 @@
 // store outage.
 TEST_F(Publish, NotAcceptedWithoutOtherHolders) {
   for (size_t i = 1; i < fleet_.size(); ++i) {
-    fleet_.Cut(0, i);
+    fleet_.Disconnect(0, i);
     fleet_.DisconnectFromStore(i);
   }
   const auto tag = fleet_.Publish(0, ChangeOf("a", "group/g", 0, "one"));
@@ -249,13 +249,13 @@
 // that the operator read on another one. This is not a conflict.
 TEST_F(Publish, AnInstanceThatIsBehindCatchesUpFirst) {
   for (size_t i = 0; i < fleet_.size(); ++i) {
-    if (i != 7) fleet_.Cut(7, i);
+    if (i != 7) fleet_.Disconnect(7, i);
   }
   fleet_.DisconnectFromStore(7);
   fleet_.Run(500ms);
   WaitForStatus(fleet_.Publish(1, ChangeOf("a", "group/g", 0, "one")));
   const uint64_t seen = fleet_.node(1).documents().at("group/g").version;
-  fleet_.Heal();
+  fleet_.ReconnectAll();
   EXPECT_EQ(
       WaitForStatus(fleet_.Publish(7, ChangeOf("b", "group/g", seen, "two"))),
       PublishStatus::kAccepted);
@@ -264,11 +264,12 @@
 TEST_F(Publish, CountsWhereARevisionIsInForce) {
   WaitForStatus(fleet_.Publish(1, ChangeOf("a", "group/g", 0, "one")));
   fleet_.Run(2s);
-  fleet_.Count(4, 1);
-  ASSERT_TRUE(fleet_.RunUntil([&] { return fleet_.counted.size() == 1; }, 5s));
-  EXPECT_EQ(fleet_.counted[0].in_force, 8U);
-  EXPECT_EQ(fleet_.counted[0].instances, 8U);
-  EXPECT_TRUE(fleet_.counted[0].missing.empty());
+  fleet_.RequestInForceCount(4, 1);
+  ASSERT_TRUE(
+      fleet_.RunUntil([&] { return fleet_.in_force_counts.size() == 1; }, 5s));
+  EXPECT_EQ(fleet_.in_force_counts[0].in_force, 8U);
+  EXPECT_EQ(fleet_.in_force_counts[0].instances, 8U);
+  EXPECT_TRUE(fleet_.in_force_counts[0].missing.empty());
 }
 
 // An instance has failed while the list still contains it. The count reports it
@@ -277,10 +278,12 @@
   fleet_.Kill(3);
   WaitForStatus(fleet_.Publish(1, ChangeOf("a", "group/g", 0, "one")));
   fleet_.Run(2s);
-  fleet_.Count(4, 1);
-  ASSERT_TRUE(fleet_.RunUntil([&] { return fleet_.counted.size() == 1; }, 9s));
-  EXPECT_EQ(fleet_.counted[0].in_force, 7U);
-  EXPECT_EQ(fleet_.counted[0].missing, (std::vector<std::string>{"i0003"}));
+  fleet_.RequestInForceCount(4, 1);
+  ASSERT_TRUE(
+      fleet_.RunUntil([&] { return fleet_.in_force_counts.size() == 1; }, 9s));
+  EXPECT_EQ(fleet_.in_force_counts[0].in_force, 7U);
+  EXPECT_EQ(fleet_.in_force_counts[0].missing,
+            (std::vector<std::string>{"i0003"}));
 }
 
 TEST_F(Publish, HistoryNamesEachVersionOfAKey) {
--- a/testsuite/configuration_random/random_test.cc
+++ b/testsuite/configuration_random/random_test.cc
@@ -34,10 +34,10 @@
     fleet_.platform.down = false;
     fleet_.platform.call_delay = 1ms;
     fleet_.platform.put_answers_to_lose = 0;
-    fleet_.Heal();
+    fleet_.ReconnectAll();
     for (size_t i = 0; i < fleet_.size(); ++i) {
       if (!fleet_.at(i).alive) fleet_.Start(i);
-      if (fleet_.at(i).frozen) fleet_.Thaw(i);
+      if (fleet_.at(i).paused) fleet_.Resume(i);
     }
     fleet_.Run(40s);
   }
@@ -87,11 +87,11 @@
         if (!fleet_.at(i).alive) fleet_.Start(i);
         return;
       case 3:
-        return fleet_.Cut(i, (i + 1 + Pick(5)) % fleet_.size());
+        return fleet_.Disconnect(i, (i + 1 + Pick(5)) % fleet_.size());
       case 4:
         return fleet_.DisconnectFromStore(i);
       case 5:
-        return fleet_.Heal();
+        return fleet_.ReconnectAll();
       case 6:
         fleet_.platform.down = Pick(2) == 0;
         return;
@@ -102,10 +102,10 @@
         fleet_.platform.put_answers_to_lose += 1;
         return;
       case 9:
-        if (fleet_.at(i).alive && !fleet_.at(i).frozen) fleet_.Freeze(i);
+        if (fleet_.at(i).alive && !fleet_.at(i).paused) fleet_.Pause(i);
         return;
       case 10:
-        if (fleet_.at(i).frozen) fleet_.Thaw(i);
+        if (fleet_.at(i).paused) fleet_.Resume(i);
         return;
       default:
         return Publish(i);
@@ -117,7 +117,7 @@
   void Publish(size_t i) {
     const size_t through = Pick(fleet_.size());
     const bool can_publish =
-        fleet_.at(through).alive && !fleet_.at(through).frozen;
+        fleet_.at(through).alive && !fleet_.at(through).paused;
     if (!can_publish || !fleet_.at(i).alive) return;
     if (!changes_.empty() && Pick(4) == 0) {
       const cfg::Change& again = changes_[Pick(changes_.size())];
--- a/testsuite/membership_keepers/keepers_test.cc
+++ b/testsuite/membership_keepers/keepers_test.cc
@@ -80,14 +80,14 @@
 TEST_F(Keepers, FrozenKeeperIsReplacedAndGetsTheGroupBack) {
   Begin();
   const size_t keeper = KeeperOf("g0");
-  fleet_->Freeze(keeper);
+  fleet_->Pause(keeper);
   EXPECT_TRUE(fleet_->RunUntil(
       [&] { return fleet_->at(Intended("g0", 1)).duties->Keeps("g0"); },
       3000ms));
   RunTraffic(20s);
   EXPECT_EQ(traffic_->refused, 0U);
-  EXPECT_LE(traffic_->worst, 1700ms);
-  fleet_->Thaw(keeper);
+  EXPECT_LE(traffic_->max_latency, 1700ms);
+  fleet_->Resume(keeper);
   EXPECT_TRUE(fleet_->RunUntil(
       [&] { return fleet_->KeepersOf("g0") == std::vector<size_t>{keeper}; },
       15s));
@@ -98,12 +98,12 @@
 TEST_F(Keepers, OneLateAnswerMovesNothing) {
   Begin();
   size_t moves = 0;
-  fleet_->on_duty = [&](size_t, const std::string&, bool) { ++moves; };
+  fleet_->on_keeper_change = [&](size_t, const std::string&, bool) { ++moves; };
   for (int round = 0; round < 20; ++round) {
     const size_t keeper = KeeperOf("g0");
-    fleet_->Freeze(keeper);
+    fleet_->Pause(keeper);
     fleet_->Run(1000ms);
-    fleet_->Thaw(keeper);
+    fleet_->Resume(keeper);
     fleet_->Run(3130ms);
   }
   EXPECT_EQ(moves, 0U);
@@ -169,7 +169,7 @@
     if (run) lost = domain;
   }
   ASSERT_TRUE(lost.has_value());
-  for (size_t i = *lost; i < fleet_->size(); i += 3) fleet_->Freeze(i);
+  for (size_t i = *lost; i < fleet_->size(); i += 3) fleet_->Pause(i);
   fleet_->Run(5s);
   for (const std::string& group : groups_) {
     bool kept = false;
@@ -199,7 +199,7 @@
   }
   fleet_->Run(20s);
   EXPECT_EQ(traffic_->served, 20U);
-  EXPECT_LE(traffic_->worst, 500ms);
+  EXPECT_LE(traffic_->max_latency, 500ms);
 }
 
 // Half of the instances become unreachable at once, among them the first six in
@@ -213,7 +213,7 @@
   for (size_t place = 0; place < 12; ++place) {
     order.push_back(Intended("g0", place));
   }
-  for (size_t place = 0; place < 6; ++place) fleet_->Freeze(order[place]);
+  for (size_t place = 0; place < 6; ++place) fleet_->Pause(order[place]);
   const auto kept = [&] {
     return std::any_of(order.begin() + 6, order.end(), [&](size_t i) {
       return fleet_->at(i).duties->Keeps("g0");
@@ -240,7 +240,7 @@
   fleet_->Run(1s);
   fleet_->Kill(keeper);
   fleet_->Run(2s);
-  fleet_->groups_from = fleet_->now() + 10s;
+  fleet_->groups_available_at = fleet_->now() + 10s;
   fleet_->Start(keeper);
   for (int i = 0; i < 100; ++i) {
     fleet_->Run(100ms);
@@ -259,7 +259,7 @@
   const size_t keeper = KeeperOf("g0");
   fleet_->Leave(keeper);
   EXPECT_TRUE(fleet_->at(keeper).duties->kept_groups().empty());
-  EXPECT_FALSE(fleet_->Ask(keeper, "g0"));
+  EXPECT_FALSE(fleet_->SendGroupRequest(keeper, "g0"));
   EXPECT_TRUE(fleet_->RunUntil([this] { return HasOneKeeperEach(); }, 1s));
 }
 
@@ -279,7 +279,7 @@
 // some groups, and lacks one that does.
 TEST_F(Keepers, WrongListRefusesNothing) {
   Begin();
-  std::vector<Member> wrong = fleet_->Everybody();
+  std::vector<Member> wrong = fleet_->AllMembers();
   wrong.erase(wrong.begin() + 2);
   fleet_->platform.SetMembers(wrong);
   fleet_->Kill(5);
@@ -306,7 +306,7 @@
   }
   fleet_->Run(20s);
   EXPECT_EQ(traffic_->refused, 0U);
-  EXPECT_LE(traffic_->worst, 200ms);
+  EXPECT_LE(traffic_->max_latency, 200ms);
   EXPECT_TRUE(fleet_->RunUntil([this] { return HasOneKeeperEach(); }, 10s));
 }
 
@@ -332,11 +332,11 @@
   Begin();
   const size_t keeper = Intended("g0", 0);
   const size_t successor = Intended("g0", 1);
-  fleet_->Cut(keeper, successor);
+  fleet_->Disconnect(keeper, successor);
   RunTraffic(60s);
   EXPECT_EQ(fleet_->KeepersOf("g0").size(), 2U);
   EXPECT_EQ(traffic_->refused, 0U);
-  fleet_->Heal();
+  fleet_->ReconnectAll();
   EXPECT_TRUE(fleet_->RunUntil(
       [&] { return fleet_->KeepersOf("g0") == std::vector<size_t>{keeper}; },
       30s));
@@ -349,14 +349,14 @@
   const size_t keeper = Intended("g0", 0);
   size_t entry = 0;
   while (entry == keeper || entry == Intended("g0", 1)) ++entry;
-  fleet_->Cut(keeper, entry);
+  fleet_->Disconnect(keeper, entry);
   for (int i = 0; i < 100; ++i) {
     fleet_->After(milliseconds(i * 100), [&] { traffic_->Send(entry, "g0"); });
   }
   fleet_->Run(20s);
   EXPECT_EQ(traffic_->served, 100U);
   EXPECT_LE(traffic_->delayed, 30U);
-  fleet_->Heal();
+  fleet_->ReconnectAll();
   fleet_->Run(30s);
   EXPECT_EQ(fleet_->KeepersOf("g0"), std::vector<size_t>{keeper});
 }
@@ -370,12 +370,12 @@
   options.instances = 10;
   Begin(options);
   size_t moves = 0;
-  fleet_->on_duty = [&](size_t, const std::string&, bool) { ++moves; };
+  fleet_->on_keeper_change = [&](size_t, const std::string&, bool) { ++moves; };
   for (size_t a = 0; a < fleet_->size(); ++a) {
     for (size_t b = 0; b < a; ++b) {
       const bool apart =
           fleet_->MemberOf(a).region != fleet_->MemberOf(b).region;
-      if (apart) fleet_->Cut(a, b);
+      if (apart) fleet_->Disconnect(a, b);
     }
   }
   fleet_->Run(600s);
--- a/testsuite/support/control/box.h
+++ b/testsuite/support/control/box.h
@@ -35,7 +35,7 @@
   std::unique_ptr<mem::Roster> roster;
   std::unique_ptr<mem::Duties> duties;
   bool alive = false;
-  bool frozen = false;
+  bool paused = false;
   /// Number of starts; events of an earlier start are dropped.
   uint64_t generation = 0;
   uint64_t incarnation = 0;
--- a/testsuite/support/control/fleet.h
+++ b/testsuite/support/control/fleet.h
@@ -34,13 +34,13 @@
   explicit Fleet(FleetOptions options)
       : options_(std::move(options)), random_(options_.seed) {
     for (size_t i = 0; i < options_.instances; ++i) AddInstance(i);
-    platform.SetMembers(Everybody());
+    platform.SetMembers(AllMembers());
     for (size_t i = 0; i < instances_.size(); ++i) Start(i);
   }
 
   Platform platform;
   std::vector<cfg::PublishDone> published;
-  std::vector<cfg::ForceDone> counted;
+  std::vector<cfg::InForceDone> in_force_counts;
   std::vector<cfg::HistoryDone> histories;
   /// Detected errors: a revision that decreased, or documents that differ from
   /// the state of their revision.
@@ -49,8 +49,8 @@
   /// answer.
   std::function<void(size_t, size_t, const cfg::PeerRequest*,
                      const cfg::PeerAnswer*)>
-      wire;
-  std::function<void(size_t, const std::string&, bool)> on_duty;
+      on_message;
+  std::function<void(size_t, const std::string&, bool)> on_keeper_change;
 
   TimePoint now() const { return now_; }
   size_t size() const { return instances_.size(); }
@@ -64,19 +64,19 @@
     ++at(i).generation;
     at(i).deferred.clear();
   }
-  void Freeze(size_t i) { at(i).frozen = true; }
-  void Thaw(size_t i) {
-    at(i).frozen = false;
+  void Pause(size_t i) { at(i).paused = true; }
+  void Resume(size_t i) {
+    at(i).paused = false;
     auto deferred = std::move(at(i).deferred);
     at(i).deferred.clear();
     for (auto& work : deferred) work();
   }
   /// Drops messages between the two instances in both directions.
-  void Cut(size_t a, size_t b) {
+  void Disconnect(size_t a, size_t b) {
     disconnected_pairs_.insert(std::minmax(a, b));
   }
   void DisconnectFromStore(size_t i) { store_disconnected_.insert(i); }
-  void Heal() {
+  void ReconnectAll() {
     disconnected_pairs_.clear();
     store_disconnected_.clear();
   }
@@ -88,7 +88,7 @@
   cfg::Tag Publish(size_t i, const cfg::Change& change,
                    milliseconds timeout = 8s, bool repeat = false) {
     const cfg::Tag tag = next_tag_++;
-    Deliver(i, cfg::PublishArrived{tag, change, now_ + timeout, repeat});
+    Deliver(i, cfg::PublishRequested{tag, change, now_ + timeout, repeat});
     return tag;
   }
   /// Returns the answer to a publish, or null if there is none yet.
@@ -101,11 +101,12 @@
   bool RunUntilAnswered(cfg::Tag tag, milliseconds timeout = 20s) {
     return RunUntil([&] { return Answer(tag) != nullptr; }, timeout);
   }
-  void Count(size_t i, uint64_t revision, milliseconds timeout = 8s) {
-    Deliver(i, cfg::ForceArrived{next_tag_++, revision, now_ + timeout});
+  void RequestInForceCount(size_t i, uint64_t revision,
+                           milliseconds timeout = 8s) {
+    Deliver(i, cfg::InForceRequested{next_tag_++, revision, now_ + timeout});
   }
   void RequestHistory(size_t i, const std::string& key) {
-    Deliver(i, cfg::HistoryArrived{next_tag_++, key, 20, now_ + 8s});
+    Deliver(i, cfg::HistoryRequested{next_tag_++, key, 20, now_ + 8s});
   }
   void SetGroups(const std::vector<std::string>& groups) {
     groups_ = groups;
@@ -114,10 +115,10 @@
     }
   }
   /// Earliest time at which instances receive their groups.
-  TimePoint groups_from;
+  TimePoint groups_available_at;
   /// Sends an entry's request for the group to instance `i`. Returns whether
   /// the instance keeps the group.
-  bool Ask(size_t i, const std::string& group) {
+  bool SendGroupRequest(size_t i, const std::string& group) {
     std::vector<mem::DutyAction> actions;
     const bool kept = at(i).duties->AcceptRequest(now_, group, &actions);
     PerformDuties(i, actions);
@@ -163,10 +164,10 @@
         });
   }
   bool AllReady() const {
-    return std::all_of(instances_.begin(), instances_.end(),
-                       [&](const auto& instance) {
-                         return !instance->alive || instance->node->ready(now_);
-                       });
+    return std::all_of(
+        instances_.begin(), instances_.end(), [&](const auto& instance) {
+          return !instance->alive || instance->node->IsReady(now_);
+        });
   }
   std::vector<size_t> KeepersOf(const std::string& group) const {
     std::vector<size_t> keepers;
@@ -190,7 +191,7 @@
     return member;
   }
   /// All instances and databases, as listed by a platform without lag.
-  std::vector<Member> Everybody() const;
+  std::vector<Member> AllMembers() const;
 
  private:
   struct Scheduled {
@@ -210,14 +211,14 @@
   }
   milliseconds RandomDelay() { return milliseconds(1 + random_() % 3); }
 
-  /// Runs `work` on the instance after `delay`. A frozen instance defers it; an
+  /// Runs `work` on the instance after `delay`. A paused instance defers it; an
   /// instance restarted or stopped in the meantime drops it.
   void RunOn(size_t i, milliseconds delay, std::function<void()> work) {
     const uint64_t generation = at(i).generation;
     After(delay, [this, i, generation, work = std::move(work)] {
       FleetInstance& instance = at(i);
       if (instance.generation != generation || !instance.alive) return;
-      if (instance.frozen) {
+      if (instance.paused) {
         instance.deferred.push_back([this, i, generation, work] {
           if (at(i).generation == generation) work();
         });
@@ -272,8 +273,8 @@
   void Perform(size_t, const cfg::PublishDone& action) {
     published.push_back(action);
   }
-  void Perform(size_t, const cfg::ForceDone& action) {
-    counted.push_back(action);
+  void Perform(size_t, const cfg::InForceDone& action) {
+    in_force_counts.push_back(action);
   }
   void Perform(size_t, const cfg::HistoryDone& action) {
     histories.push_back(action);
@@ -309,7 +310,7 @@
   std::set<size_t> store_disconnected_;
 };
 
-inline std::vector<Member> Fleet::Everybody() const {
+inline std::vector<Member> Fleet::AllMembers() const {
   std::vector<Member> all;
   for (size_t i = 0; i < instances_.size(); ++i) all.push_back(MemberOf(i));
   for (size_t g = 0; g < options_.groups; ++g) {
@@ -340,7 +341,7 @@
   }
   ++instance.generation;
   instance.alive = true;
-  instance.frozen = false;
+  instance.paused = false;
   instance.last_revision = 0;
   instance.tick_at = TimePoint::max();
   instance.node = std::make_unique<cfg::Node>(options);
@@ -353,7 +354,7 @@
 
 /// An instance learns its groups when its configuration is ready.
 inline void Fleet::UpdateGroups(size_t i) {
-  if (node(i).ready(now_) && now_ >= groups_from) {
+  if (node(i).IsReady(now_) && now_ >= groups_available_at) {
     HandleDuty(i, mem::GroupsChanged{groups_});
   } else {
     RunOn(i, 20ms, [this, i] { UpdateGroups(i); });
@@ -412,9 +413,9 @@
                                  const std::vector<mem::DutyAction>& actions) {
   for (const mem::DutyAction& action : actions) {
     if (const auto* keep = std::get_if<mem::KeepGroup>(&action)) {
-      if (on_duty) on_duty(i, keep->group, true);
+      if (on_keeper_change) on_keeper_change(i, keep->group, true);
     } else if (const auto* give = std::get_if<mem::ReleaseGroup>(&action)) {
-      if (on_duty) on_duty(i, give->group, false);
+      if (on_keeper_change) on_keeper_change(i, give->group, false);
     } else {
       const auto& check = std::get<mem::CheckKeeper>(action);
       SendPeerRequest(i, IndexOf(check.instance), check.request, check.deadline,
@@ -435,7 +436,7 @@
 inline void Fleet::SendPeerRequest(size_t from, size_t to,
                                    const cfg::PeerRequest& request,
                                    TimePoint deadline, const PeerReply& reply) {
-  if (wire) wire(from, to, &request, nullptr);
+  if (on_message) on_message(from, to, &request, nullptr);
   const auto completed = std::make_shared<bool>(false);
   const auto complete = [completed, reply](const cfg::PeerAnswer* answer,
                                            bool refused) {
@@ -453,7 +454,7 @@
   const auto answered = [this, from, to,
                          complete](const cfg::PeerAnswer& answer) {
     if (!IsConnected(from, to)) return;
-    if (wire) wire(to, from, nullptr, &answer);
+    if (on_message) on_message(to, from, nullptr, &answer);
     RunOn(from, RandomDelay(),
           [complete, answer] { complete(&answer, false); });
   };
--- a/testsuite/support/control/meter.h
+++ b/testsuite/support/control/meter.h
@@ -24,9 +24,9 @@
  public:
   explicit Meter(Fleet* fleet)
       : fleet_(fleet), messages_(fleet->size()), bytes_(fleet->size()) {
-    fleet_->wire = [this](size_t from, size_t to,
-                          const cfg::PeerRequest* request,
-                          const cfg::PeerAnswer* answer) {
+    fleet_->on_message = [this](size_t from, size_t to,
+                                const cfg::PeerRequest* request,
+                                const cfg::PeerAnswer* answer) {
       const uint64_t size = request != nullptr
                                 ? wire::WritePeerRequest(*request).size()
                                 : wire::WritePeerAnswer(*answer).size();
@@ -35,7 +35,7 @@
     };
     Reset();
   }
-  ~Meter() { fleet_->wire = nullptr; }
+  ~Meter() { fleet_->on_message = nullptr; }
   Meter(const Meter&) = delete;
   Meter& operator=(const Meter&) = delete;
 
--- a/testsuite/support/control/traffic.h
+++ b/testsuite/support/control/traffic.h
@@ -23,7 +23,7 @@
   /// Served, but later than `kPromptLimit`.
   uint64_t delayed = 0;
   uint64_t refused = 0;
-  milliseconds worst{0};
+  milliseconds max_latency{0};
 
   /// Sends one request every `interval` for `duration`, round-robin over the
   /// live entries and the groups.
@@ -41,7 +41,7 @@
 
   void Send(size_t entry, const std::string& group) {
     const FleetInstance& instance = fleet_->at(entry);
-    if (!instance.alive || instance.frozen) return;
+    if (!instance.alive || instance.paused) return;
     ++sent;
     auto request = std::make_shared<Request>();
     request->entry = entry;
@@ -93,7 +93,7 @@
                      const std::string& name) {
     const FleetInstance& instance = fleet_->at(target);
     const bool unreachable =
-        !fleet_->IsConnected(request->entry, target) || instance.frozen;
+        !fleet_->IsConnected(request->entry, target) || instance.paused;
     if (!instance.alive || unreachable) {
       fleet_->After(
           unreachable ? kCallTimeout : kNetworkDelay, [this, request, name] {
@@ -103,7 +103,7 @@
           });
       return;
     }
-    if (fleet_->Ask(target, request->group)) {
+    if (fleet_->SendGroupRequest(target, request->group)) {
       Finish(*request);
     } else {
       RetryAfter(request,
@@ -120,7 +120,7 @@
     const auto took =
         std::chrono::duration_cast<milliseconds>(fleet_->now() - request.begin);
     if (took > kPromptLimit) ++delayed;
-    worst = std::max(worst, took);
+    max_latency = std::max(max_latency, took);
   }
 
   Fleet* fleet_;
