--- a/src/include/ryefold/core/mirror/change_log.h
+++ b/src/include/ryefold/core/mirror/change_log.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A copy of the store's keys that remembers when each was found changed, so
-// that other instances can be given what is new to them.
+// A copy of the store's keys with a change history, from which the changes
+// since a revision can be sent to other instances.
 
 #include <cstdint>
 #include <deque>
@@ -17,58 +17,60 @@
 
 namespace ryefold::core::mirror {
 
-/// An entry for another instance. Large values change by little, so the one
-/// that the instance has is named, to be told apart from.
+/// An entry to send to another instance. Successive values of a large entry
+/// differ little, so it may be encoded as a difference from a base value.
 struct Change {
   Entry entry;
-  /// Value and revision that the other side holds; none when it has none that
-  /// is still known here.
+  /// Value and revision that the receiver holds. Null when it holds none, or
+  /// when its value is no longer in the history.
   std::shared_ptr<const std::string> base;
   uint64_t base_revision = 0;
 };
 
 class ChangeLog {
  public:
-  /// Replaces everything; nothing older can be told apart any more.
+  /// Replaces all entries and discards the history.
   void Reset(EntryMap entries, uint64_t as_of);
-  /// Takes in what a read up to `as_of` has found changed.
+  /// Applies the changes found by a read up to revision `as_of`.
   void Apply(const std::vector<Entry>& changes, uint64_t as_of);
 
-  /// What differs from the copy of an instance that has read up to `after`;
-  /// nothing when that is too long ago to tell.
-  std::optional<std::vector<Change>> Since(uint64_t after) const;
-  /// Every entry there is.
-  std::vector<Change> All() const;
+  /// Returns the changes since revision `after`. Returns nullopt if the history
+  /// does not reach back that far.
+  std::optional<std::vector<Change>> ChangesSince(uint64_t after) const;
+  /// Returns all entries, without base values.
+  std::vector<Change> AllChanges() const;
 
   const EntryMap& entries() const { return entries_; }
   uint64_t as_of() const { return as_of_; }
-  /// The same for two logs that hold the same keys at the same revisions.
+  /// Returns a digest that is equal for two logs with the same keys at the same
+  /// revisions.
   uint64_t digest() const { return digest_; }
 
  private:
   struct Version {
     uint64_t revision = 0;
-    uint64_t found_at = 0;
+    uint64_t recorded_at = 0;
     std::shared_ptr<const std::string> value;
   };
-  void KeepVersion(const Entry& old);
-  void Found(const std::string& key, uint64_t at);
+  void SaveVersion(const Entry& old);
+  void RecordChange(const std::string& key, uint64_t at);
   void Remove(EntryMap::iterator entry, uint64_t at);
-  Change ChangeOf(const Entry& entry, uint64_t after) const;
+  Change MakeChange(const Entry& entry, uint64_t after) const;
 
   EntryMap entries_;
-  /// Revision at which the key's last change was found: the change's own, or
-  /// that of the read when an earlier read had missed the change.
-  std::map<std::string, uint64_t> found_at_;
-  std::set<std::pair<uint64_t, std::string>> by_found_;
-  /// Keys that are gone, by when that was found.
+  /// Revision under which the key's last change is recorded: the change's own,
+  /// or that of the later read which found the change after an earlier read had
+  /// missed it.
+  std::map<std::string, uint64_t> recorded_at_;
+  std::set<std::pair<uint64_t, std::string>> by_recorded_;
+  /// Removed keys, by the revision under which the removal is recorded.
   std::set<std::pair<uint64_t, std::string>> removed_;
   std::map<std::string, std::deque<Version>> versions_;
   uint64_t as_of_ = 0;
-  /// Sum of the entries' hashes, so that one entry can be exchanged.
+  /// Sum of the entries' hashes, which allows updates one entry at a time.
   uint64_t digest_ = 0;
-  /// Differences are known from this revision on.
-  uint64_t known_from_ = 0;
+  /// First revision that the history covers.
+  uint64_t history_from_ = 0;
 };
 
 }  // namespace ryefold::core::mirror
--- a/src/include/ryefold/core/mirror/entry.h
+++ b/src/include/ryefold/core/mirror/entry.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Keys of the store as instances hold and pass them on.
+// Store entries as instances hold and exchange them.
 
 #include <boost/outcome/result.hpp>
 #include <chrono>
@@ -13,13 +13,13 @@
 
 namespace ryefold::core::mirror {
 
-/// One key as stored, or its removal.
+/// A stored key with its value, or the removal of a key.
 struct Entry {
   std::string key;
   std::string value;
-  /// Store revision of its last change.
+  /// Store revision of the last change.
   uint64_t revision = 0;
-  /// Store revision at which it came to exist.
+  /// Store revision at which the key was created.
   uint64_t created = 0;
   uint64_t lease = 0;
   bool deleted = false;
@@ -27,34 +27,34 @@
   bool operator==(const Entry&) const = default;
 };
 
-/// By key.
+/// Entries by key.
 using EntryMap = std::map<std::string, Entry>;
 
-/// What one call on a source brought.
+/// The answer of a source to one call.
 struct Reading {
   std::vector<Entry> entries;
-  /// A listing goes on after the last of `entries`.
+  /// The listing has a further page, which begins after the last of `entries`.
   bool more = false;
-  /// `entries` are all there are, whatever was known before.
+  /// `entries` is a complete copy, not a list of changes.
   bool whole = false;
-  /// Store revision up to which the answer speaks.
+  /// Store revision that the answer reflects.
   uint64_t as_of = 0;
-  /// How long ago, at the most, all of this was known to be so. 0 for the store
-  /// itself; a relay tells the age of its own copy.
+  /// Upper bound of the age of the data: 0 from the store itself, the age of
+  /// its own copy from a relay.
   std::chrono::milliseconds age{0};
-  /// What `ChangeLog::digest` is at the source. Copies with the same digest
-  /// hold the same keys at the same revisions.
+  /// `ChangeLog::digest` of the source. Copies with the same digest hold the
+  /// same keys at the same revisions.
   std::optional<uint64_t> digest;
 };
 
 enum class ReadError : uint8_t {
-  kUnreachable,  ///< No answer, or one that says nothing was done.
-  kHistoryGone,  ///< Changes since the revision asked for are not kept.
-  kUnreadable,   ///< Answered with something that cannot be read.
-  kNotCurrent,   ///< The relay does not follow the store at present.
+  kUnreachable,  ///< No answer, or a refusal of the call.
+  kHistoryGone,  ///< The requested changes are no longer in the history.
+  kUnreadable,   ///< The answer cannot be parsed.
+  kNotCurrent,   ///< The relay is not following the store.
 };
 
-/// Short name for logs.
+/// Returns the name used in log lines.
 std::string_view ReadErrorName(ReadError error);
 
 using ReadResult = boost::outcome_v2::unchecked<Reading, ReadError>;
--- a/src/include/ryefold/core/mirror/relay.h
+++ b/src/include/ryefold/core/mirror/relay.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Tells other instances what has changed in the store.
+// Sends store changes to other instances.
 
 #include <chrono>
 #include <cstdint>
@@ -12,26 +12,26 @@
 
 namespace ryefold::core::mirror {
 
-/// Names one call of another instance; chosen by the port, never reused.
+/// Identifies one call of another instance; chosen by the port, never reused.
 using RelayCall = uint64_t;
 
 struct RelayAnswer {
-  /// This instance follows the store and has heard from it lately. If not,
-  /// nothing else is told: the other side would wait here for changes that do
-  /// not come, and serve under a configuration that is no longer in force.
+  /// This instance follows the store and its copy is current. If false, the
+  /// other fields are unset: the receiver would otherwise wait here for changes
+  /// that do not arrive, and serve a stale configuration.
   bool current = false;
   bool whole = false;
   std::vector<Change> changes;
   uint64_t as_of = 0;
   uint64_t digest = 0;
-  /// `Mirror::confirmed_at`; goes as an age, since clocks differ.
+  /// `Mirror::confirmed_at`, which is sent as an age because clocks differ.
   TimePoint confirmed_at;
 };
 
-/// What this instance can tell others about the store.
+/// Whether this instance can serve as a relay.
 enum class RelayState : uint8_t {
-  kNotCurrent,  ///< It does not follow the store: others have to ask elsewhere.
-  kCatchingUp,  ///< It has missed changes and is listing the store anew.
+  kNotCurrent,  ///< It does not follow the store: use another source.
+  kCatchingUp,  ///< It has missed changes and is listing the store again.
   kCurrent,
 };
 
@@ -41,23 +41,23 @@
   virtual void AnswerRelayed(RelayCall call, const RelayAnswer& answer) = 0;
 };
 
-/// State machine that holds calls until there is something to tell. Not
+/// State machine that holds calls until there are changes to send. Not
 /// thread-safe.
 class Relay {
  public:
   Relay(const ChangeLog* log, RelayPort* port) : log_(log), port_(port) {}
 
-  /// An instance that has read up to `after` (0: nothing) wants to know what
-  /// changes until `wait_until`, when it is answered in any case: a relay that
-  /// is suspended shows by its silence.
+  /// Handles a call of an instance that has read up to revision `after` (0:
+  /// nothing). The call is answered when changes arrive, at `wait_until` at the
+  /// latest, so that a timeout shows that a relay is suspended.
   void Asked(TimePoint now, RelayCall call, uint64_t after,
              TimePoint wait_until);
-  /// The other side does not wait any more.
+  /// Drops a call whose sender no longer waits.
   void Gone(RelayCall call) { waiting_.erase(call); }
 
-  /// `Mirror::relay_state` and `Mirror::confirmed_at`.
+  /// Sets `Mirror::relay_state` and `Mirror::confirmed_at`.
   void SetState(RelayState state, TimePoint confirmed_at);
-  /// The log has taken changes in.
+  /// Answers waiting calls after changes were applied to the log.
   void Changed();
   void Tick(TimePoint now);
   TimePoint next_deadline() const;
@@ -69,7 +69,6 @@
     TimePoint until;
   };
   RelayAnswer AnswerFor(uint64_t after) const;
-  /// Answers all calls for which `due` holds.
   template <class Due>
   void AnswerIf(const Due& due);
 
--- a/src/include/ryefold/core/mirror/relay_plan.h
+++ b/src/include/ryefold/core/mirror/relay_plan.h
@@ -1,33 +1,34 @@
 #pragma once
 
-// Who follows the store and who hears from whom.
+// Decides which instances follow the store and from which relays the others
+// read.
 
 #include <string>
 #include <vector>
 
 namespace ryefold::core::mirror {
 
-/// An instance as the plan sees it.
+/// An instance as input of the plan.
 struct Member {
   std::string instance;
   std::string failure_domain;
 };
 
 struct RelayPlan {
-  /// This instance follows the store itself, and others may hear from it.
+  /// This instance follows the store itself.
   bool follows_store = true;
-  /// Others follow this one, so that it should hear of changes early.
+  /// This instance is a relay for others, so it should receive changes early.
   bool relays = false;
-  /// Instances to hear from, the first choice first.
+  /// Relays to read from, in order of preference.
   std::vector<std::string> sources;
 };
 
-/// The plan of `self`. In a small fleet everybody follows the store. In a large
-/// one each change would reach every instance whole and from one place, and the
-/// store counts each waiting call; so a part of each failure domain, the same
-/// by everybody's reckoning, follows the store and tells the others what has
-/// changed. A plan made from an older list of instances only costs a refused
-/// call: instances that do not follow the store say so.
+/// Returns the plan for `self`. In a small fleet all instances follow the
+/// store. In a large one the store would send each change in full to every
+/// instance and hold one call for each. There a part of each failure domain,
+/// which all instances compute alike, follows the store and relays the changes.
+/// A plan made from an outdated list of instances only costs a refused call:
+/// instances that do not follow the store answer so.
 RelayPlan PlanRelays(const Member& self, const std::vector<Member>& members);
 
 }  // namespace ryefold::core::mirror
--- a/src/include/ryefold/core/mirror/store_source.h
+++ b/src/include/ryefold/core/mirror/store_source.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The store as the mirror reads it.
+// Interface through which the mirror reads the store.
 
 #include <chrono>
 #include <cstdint>
@@ -18,11 +18,11 @@
   using Done = std::function<void(const ReadResult&)>;
 
   virtual ~StoreSource() = default;
-  /// One page of all there is, from behind the key `after` on.
+  /// Reads one page of all entries, beginning after the key `after`.
   virtual void List(const std::string& after, const AnswerLimits& limits,
                     const Done& done) = 0;
-  /// Answers when something has changed since the revision `after`, at the
-  /// latest after `wait`.
+  /// Calls `done` when something has changed since revision `after`, after
+  /// `wait` at the latest.
   virtual void Watch(uint64_t after, std::chrono::milliseconds wait,
                      const AnswerLimits& limits, const Done& done) = 0;
 };
--- a/src/include/ryefold/settings/catalog.h
+++ b/src/include/ryefold/settings/catalog.h
@@ -12,23 +12,24 @@
 namespace ryefold::settings {
 
 /// Documents by key ("template/NAME", "group/NAME", "workspace/NAME"), each a
-/// JSON object in canonical form: no comments, members in order, no blanks.
+/// JSON object in canonical form: no comments, members sorted, no white space.
 using Documents = std::map<std::string, std::string>;
 
-/// Splits an operators' file into documents. `base` holds what is published
-/// already: names that the file refers to may stand there. Every problem is
-/// added to `findings` with its place in the file.
+/// Splits an operators' file into documents. `base` holds the published
+/// documents, whose names the file may refer to. Every problem is added to
+/// `findings` with its place in the file.
 Documents ParseDocuments(const std::string& source, const std::string& text,
                          const Documents& base, wire::Findings* findings);
 
-/// What the documents amount to. A document that does not resolve is left out
-/// and told in `findings`, its key as the source; all others are in force.
+/// Returns the catalog that the documents define. An invalid document is left
+/// out and reported in `findings` with its key as the source; all others are in
+/// force.
 core::Catalog Resolve(const Documents& documents, wire::Findings* findings);
 
-/// Lower-case hex of SHA-256 over salt and key.
+/// Returns the lower-case hex SHA-256 of the salt followed by the key.
 std::string HashKey(std::string_view salt, std::string_view key);
 
-/// Compares without telling by its time where the two differ.
+/// Compares two keys in time that does not depend on where they differ.
 bool SameKey(std::string_view left, std::string_view right);
 
 }  // namespace ryefold::settings
--- a/src/include/ryefold/settings/gateway.h
+++ b/src/include/ryefold/settings/gateway.h
@@ -16,9 +16,10 @@
   std::string failure_domain;
   /// "ip:port" for callers' sessions.
   std::string session_address;
-  /// "ip:port" for other instances; empty: none forward statements here.
+  /// "ip:port" for other instances; empty: no instance forwards statements
+  /// here.
   std::string peer_address;
-  /// "ip:port" for the balancer's readiness probe; also serves /metrics.
+  /// "ip:port" for the load balancer's readiness probe; also serves /metrics.
   std::string ready_address;
   /// "ip:port" for metrics; empty: on the ready address only.
   std::string metrics_address;
@@ -30,15 +31,15 @@
   bool first_start = false;
   /// Time from the request to stop until the process is killed.
   std::chrono::milliseconds stop_grace{6000};
-  /// Who has to have a commit before it is acknowledged: "replica", so that no
-  /// single failure loses it, or "primary".
+  /// Where a commit must be stored before it is acknowledged: "replica", so
+  /// that no single failure loses it, or "primary".
   std::string confirm_commits = "replica";
-  /// Statement lines logged a second at most.
+  /// Maximum number of statement lines logged per second.
   uint32_t log_lines = 150;
 };
 
-/// Reads settings; every problem is added to `findings` with its place, and
-/// the result is only good for use when there is none.
+/// Reads settings. Every problem is added to `findings` with its place; the
+/// result is valid only if there are none.
 GatewaySettings ParseGatewaySettings(const std::string& source,
                                      const std::string& text,
                                      wire::Findings* findings);
--- a/src/include/ryefold/settings/instance.h
+++ b/src/include/ryefold/settings/instance.h
@@ -12,7 +12,7 @@
 
 namespace ryefold::settings {
 
-/// Who an instance is, where it listens, whom it calls, and its limits.
+/// Identity, addresses and limits of an instance.
 struct InstanceSettings {
   /// Unique among all instances.
   std::string name;
@@ -24,25 +24,27 @@
   std::string peer_address;
   /// Addresses of the platform's key-value service, tried in turn.
   std::vector<std::string> platform;
-  /// Peer addresses to try while the platform's list is not known.
+  /// Peer addresses to try until the platform's list of instances is available.
   std::vector<std::string> seeds;
-  /// Key that operators' calls carry.
+  /// Key that authorizes operators' calls.
   std::string admin_key;
-  /// Bounds on what one caller may make the instance hold.
+  /// Limits of the resources that one caller may use.
   wire::HttpLimits http;
-  /// Time between "not ready" and refusing connections, for the balancer.
+  /// Time between reporting "not ready" and refusing connections, in which the
+  /// load balancer removes the instance.
   std::chrono::milliseconds drain_notice{1000};
-  /// Failure detection.
+  /// Timing of the failure detector.
   core::group::KeeperTiming keeper;
 };
 
-/// Reads settings; every problem is added to `findings` with its place, and
-/// the result is only good for use when there is none.
+/// Reads settings. Every problem is added to `findings` with its place; the
+/// result is valid only if there are none.
 InstanceSettings ParseInstanceSettings(const std::string& source,
                                        const std::string& text,
                                        wire::Findings* findings);
 
-/// Whether `text` is "ip:port" with a numeric IPv4 address and a port from 1.
+/// Returns whether `text` is "ip:port" with a numeric IPv4 address and a port
+/// from 1.
 bool IsAddress(const std::string& text);
 
 }  // namespace ryefold::settings
--- a/src/include/ryefold/task/deadline_timer.h
+++ b/src/include/ryefold/task/deadline_timer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The one timer of a task whose state machine names its next deadline.
+// A timer for a state machine that reports its next deadline.
 
 #include <functional>
 
@@ -8,10 +8,10 @@
 
 namespace ryefold::task {
 
-/// Fires once, at the earliest of the deadlines that it was armed for since it
-/// last fired. One that has moved to a later time fires early, which a state
-/// machine takes for nothing new; arming a timer anew for each event costs
-/// more.
+/// Fires once, at the earliest deadline that it was armed for since it last
+/// fired. When the deadline moves to a later time, the timer still fires at the
+/// earlier one, which a state machine must ignore; rearming the timer for each
+/// event costs more.
 class DeadlineTimer {
  public:
   DeadlineTimer(Loop* loop, std::function<void()> due);
@@ -19,7 +19,7 @@
   DeadlineTimer(const DeadlineTimer&) = delete;
   DeadlineTimer& operator=(const DeadlineTimer&) = delete;
 
-  /// `TimePoint::max()`: there is none.
+  /// Arms the timer for `deadline`; `TimePoint::max()` is no deadline.
   void ArmFor(TimePoint deadline);
 
  private:
--- a/src/include/ryefold/task/event_log.h
+++ b/src/include/ryefold/task/event_log.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Structured lines on standard output, bounded in volume, never blocking.
+// Structured log lines on a file descriptor, limited in rate. Writing never
+// blocks.
 
 #include <cstdint>
 #include <string>
@@ -11,17 +12,18 @@
 
 namespace ryefold::task {
 
-/// Lines kept a second. Requests are logged first come, first served; a burst
-/// beyond the bound is counted, and one line a second tells the count.
+/// Maximum number of lines per second, in order of arrival. Lines beyond it are
+/// dropped, and one line per second reports their number.
 struct EventBudget {
   /// About one line for each request of an instance in steady state.
   uint32_t request_lines = 150;
-  /// Changes of belief are rare; this only bounds a storm of them.
+  /// State changes are rare; this limit only applies to bursts.
   uint32_t state_lines = 400;
 };
 
-/// Collects lines and writes them some times a second. A pipe that nobody
-/// reads loses lines, counted, and costs no time. One thread.
+/// Buffers lines and writes them several times a second. When the reader of the
+/// descriptor is too slow, lines are dropped and counted. Must be used from the
+/// loop's thread only.
 class EventLog : public core::EventSink {
  public:
   EventLog(Loop* loop, int fd, std::string instance, EventBudget budget);
@@ -30,9 +32,9 @@
   bool Wants(core::EventWeight weight) override;
   void Write(core::EventWeight weight, std::string_view line) override;
 
-  /// Writes what is waiting, as far as the descriptor takes it.
+  /// Writes the buffered lines, as far as the descriptor accepts them.
   void Flush();
-  uint64_t left_out() const { return left_out_; }
+  uint64_t left_out() const { return dropped_lines_; }
 
  private:
   void Tick();
@@ -43,11 +45,11 @@
   const std::string instance_;
   const EventBudget budget_;
   TimerId timer_ = 0;
-  std::string waiting_;
+  std::string buffer_;
   uint32_t request_lines_ = 0;
   uint32_t state_lines_ = 0;
-  uint64_t left_out_ = 0;
-  uint64_t left_out_told_ = 0;
+  uint64_t dropped_lines_ = 0;
+  uint64_t reported_dropped_lines_ = 0;
   TimePoint second_ends_;
 };
 
--- a/src/include/ryefold/task/loop.h
+++ b/src/include/ryefold/task/loop.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One thread's event loop over libevent: posted work and timers.
+// A single-threaded event loop over libevent with posted work and timers.
 
 #include <chrono>
 #include <cstdint>
@@ -14,8 +14,8 @@
 using TimePoint = std::chrono::steady_clock::time_point;
 using TimerId = uint64_t;
 
-/// Owns an event base. `Post` and `Stop` may be called from any thread, the
-/// rest only from the loop's own.
+/// Owns an event base. `Post` and `Stop` may be called from any thread, all
+/// other functions only from the loop's own thread.
 class Loop {
  public:
   Loop();
@@ -25,17 +25,17 @@
 
   event_base* base() const;
 
-  /// Runs until `Stop`. An exception thrown by a handler leaves it.
+  /// Runs until `Stop`. Rethrows an exception that a handler throws.
   void Run();
   void Stop();
 
-  /// Runs `work` on the loop, in the order posted. Wakes the loop at most once
-  /// for any number of pieces of work posted before it gets to them.
+  /// Runs `work` on the loop, in the order posted. Wakes the loop once for all
+  /// work posted before the loop takes it.
   void Post(std::function<void()> work);
 
-  /// Runs `work` at `when`, on the loop.
+  /// Runs `work` on the loop at `when`.
   TimerId At(TimePoint when, std::function<void()> work);
-  /// Does nothing when the timer has fired or never was.
+  /// Cancels a timer. Does nothing if it has fired or does not exist.
   void Cancel(TimerId timer);
 
  private:
--- a/src/include/ryefold/task/mailbox.h
+++ b/src/include/ryefold/task/mailbox.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Typed message passing between tasks.
+// Typed message queues between tasks.
 
 #include <functional>
 #include <iterator>
@@ -13,33 +13,35 @@
 
 namespace ryefold::task {
 
-/// Where other tasks leave messages of one type. The mailbox outlives the task
-/// that reads it: while the task is being restarted, messages wait, up to a
-/// limit, and the next run of the task gets them.
+/// A bounded queue of messages of one type. The mailbox outlives the task that
+/// reads it: messages stay queued while the task is restarted, and its next run
+/// receives them.
 template <class Message>
 class Mailbox {
  public:
-  explicit Mailbox(size_t limit = kDefaultLimit) : limit_(limit) {}
+  explicit Mailbox(size_t limit = kDefaultMaxMessages) : limit_(limit) {}
 
-  /// Leaves a message; false when the mailbox is full. The sender then has to
-  /// answer for it: nothing was passed on.
+  /// Queues a message. Returns false when the mailbox is full; the sender then
+  /// has to answer for the message itself.
   bool Send(Message message) {
     std::lock_guard<std::mutex> lock(mutex_);
-    if (waiting_.size() >= limit_) return false;
-    waiting_.push_back(std::move(message));
-    if (loop_ != nullptr && waiting_.size() == 1) Wake();
+    if (queue_.size() >= limit_) return false;
+    queue_.push_back(std::move(message));
+    if (loop_ != nullptr && queue_.size() == 1) Wake();
     return true;
   }
 
-  /// Binds the reader. Only one at a time; it runs on `loop`'s thread.
+  /// Binds the reader, which runs on the thread of `loop`. Only one reader may
+  /// be bound at a time.
   void Open(Loop* loop, std::function<void(Message)> reader) {
     std::lock_guard<std::mutex> lock(mutex_);
     loop_ = loop;
     reader_ = std::move(reader);
-    if (!waiting_.empty()) Wake();
+    if (!queue_.empty()) Wake();
   }
 
-  /// Unbinds the reader, called on the loop's thread before the loop ends.
+  /// Unbinds the reader. Must be called on the loop's thread before the loop
+  /// ends.
   void Close() {
     std::lock_guard<std::mutex> lock(mutex_);
     loop_ = nullptr;
@@ -47,7 +49,7 @@
   }
 
  private:
-  static constexpr size_t kDefaultLimit = 100000;
+  static constexpr size_t kDefaultMaxMessages = 100000;
 
   void Wake() {
     loop_->Post([this] { Deliver(); });
@@ -59,33 +61,33 @@
     {
       std::lock_guard<std::mutex> lock(mutex_);
       if (!reader_) return;
-      batch.swap(waiting_);
+      batch.swap(queue_);
       reader = reader_;
     }
     size_t next = 0;
     try {
       while (next < batch.size()) reader(std::move(batch[next++]));
     } catch (...) {
-      PutBack(&batch, next);
+      Requeue(&batch, next);
       throw;
     }
   }
 
-  /// A reader that fails would take the rest of its batch with it, and their
-  /// senders would wait for answers in vain. The rest goes back to the front
-  /// for the next run; only the message that was being read is gone.
-  void PutBack(std::vector<Message>* batch, size_t from) {
+  /// Returns the rest of a batch to the front of the queue when the reader
+  /// throws; otherwise the senders would wait for answers in vain. Only the
+  /// message that was being read is lost.
+  void Requeue(std::vector<Message>* batch, size_t from) {
     std::lock_guard<std::mutex> lock(mutex_);
-    waiting_.insert(waiting_.begin(),
-                    std::make_move_iterator(batch->begin() + from),
-                    std::make_move_iterator(batch->end()));
+    queue_.insert(queue_.begin(),
+                  std::make_move_iterator(batch->begin() + from),
+                  std::make_move_iterator(batch->end()));
   }
 
   const size_t limit_;
   std::mutex mutex_;
   Loop* loop_ = nullptr;
   std::function<void(Message)> reader_;
-  std::vector<Message> waiting_;
+  std::vector<Message> queue_;
 };
 
 }  // namespace ryefold::task
--- a/src/include/ryefold/task/supervisor.h
+++ b/src/include/ryefold/task/supervisor.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A supervisor tree: tasks run on threads of their own; one that fails is
-// restarted, unless it fails too often, in which case the failure moves up.
+// A supervisor tree: each task runs on its own thread and is restarted when it
+// fails. A task that fails too often makes its supervisor fail.
 
 #include <chrono>
 #include <cstdint>
@@ -14,33 +14,35 @@
 
 namespace ryefold::task {
 
-/// A part of the daemon with a thread, sockets and state of its own. A fresh
-/// object is made for each run, so nothing damaged survives a failure.
+/// A part of the daemon with its own thread, sockets and state. A new object is
+/// created for each run, so no corrupt state survives a failure.
 class Task {
  public:
   virtual ~Task() = default;
-  /// Sets up sockets and mailboxes; runs on the task's own thread.
+  /// Sets up sockets and mailboxes. Runs on the task's own thread.
   virtual void Start(Loop* loop) = 0;
-  /// Runs on the task's own thread when the loop ends, also after a failure.
+  /// Releases them. Runs on the task's own thread when the loop ends, also
+  /// after a failure.
   virtual void Stop() = 0;
 };
 
-/// How often a child may be restarted before its supervisor gives up.
+/// Number of restarts within a sliding window that a supervisor allows before
+/// it fails itself.
 struct RestartLimit {
   uint32_t restarts = 5;
   std::chrono::milliseconds within{10000};
 };
 
-/// What became of a child, for counters and for callers that wait on it.
+/// Reports the end of a run of a child.
 struct ChildEvent {
   std::string child;
-  /// Text of the failure; empty on an ordinary end.
+  /// Text of the failure; empty after a normal end.
   std::string failure;
   bool restarted = false;
 };
 
-/// Runs children and restarts those that fail. A supervisor is itself a child
-/// of another through `AsChild`-made factories, which makes the tree.
+/// Runs children and restarts those that fail. Supervisors nest through
+/// `AddSupervisor`.
 class Supervisor {
  public:
   using Factory = std::function<std::unique_ptr<Task>()>;
@@ -50,32 +52,34 @@
   Supervisor(const Supervisor&) = delete;
   Supervisor& operator=(const Supervisor&) = delete;
 
-  /// Adds a child; children start in the order added and stop in reverse.
+  /// Adds a child. Children start in the order added and stop in reverse order.
   void Add(std::string child, Factory factory);
 
-  /// Adds a subordinate supervisor, built by `fill` anew for each run. When it
-  /// gives up, that counts as one failure of this child.
+  /// Adds a nested supervisor, to which `fill` adds the children at each run.
+  /// Exceeding its restart limit counts as one failure of this child.
   void AddSupervisor(std::string child, RestartLimit limit,
                      std::function<void(Supervisor*)> fill);
 
-  /// Called on the failing child's thread after its `Stop`, before a restart.
+  /// Sets the function that is called on a child's thread after its `Stop`,
+  /// before a restart.
   void OnChild(std::function<void(const ChildEvent&)> listener);
 
   /// Starts all children and returns.
   void Start();
 
-  /// Blocks until `Shutdown`, or until the limit is exceeded. True for an
-  /// ordinary end, false when it gave up.
+  /// Blocks until `Shutdown` or until the restart limit is exceeded. Returns
+  /// false in the latter case.
   bool Wait();
 
-  /// Ends all children in reverse order. May be called from any thread; on a
-  /// child's own thread it only asks, and `Wait` does the rest.
+  /// Stops all children in reverse order. May be called from any thread; on a
+  /// child's own thread it only requests the shutdown, which `Wait` performs.
   void Shutdown();
 
-  /// Asks `Wait` to end all children; returns at once, on any thread.
+  /// Requests that `Wait` stops all children, and returns at once. May be
+  /// called from any thread.
   void RequestShutdown();
 
-  /// Restarts counted so far, of all children.
+  /// Returns the total number of restarts of all children.
   uint64_t restarts() const;
 
  private:
--- a/src/libcore/mirror/change_log.cc
+++ b/src/libcore/mirror/change_log.cc
@@ -7,17 +7,18 @@
 namespace ryefold::core::mirror {
 namespace {
 
-/// Removed keys that are remembered. A fleet that is replaced whole removes
-/// one for each instance and database; beyond, everything is told anew.
-constexpr size_t kMostRemoved = 4000;
-/// Values from this size on are told as a difference to an earlier one. A
-/// smaller one is sent in about one packet either way.
-constexpr size_t kLeastBase = 1024;
-/// Earlier values kept of one key: as many as may change between two reads of
-/// an instance that has just changed its source.
-constexpr size_t kMostVersions = 4;
-
-uint64_t HashOf(const Entry& entry) {
+/// Removed keys kept in the history. Replacing a whole fleet removes one key
+/// for each instance and database; beyond this bound, all entries are sent
+/// again.
+constexpr size_t kMaxRemovedKeys = 4000;
+/// Values of at least this many bytes are sent as a difference from an earlier
+/// one. A smaller value takes about one packet either way.
+constexpr size_t kMinDeltaValueBytes = 1024;
+/// Earlier values kept for each key: as many as may change between two reads of
+/// an instance that has just switched to another source.
+constexpr size_t kMaxVersionsPerKey = 4;
+
+uint64_t HashEntry(const Entry& entry) {
   return XXH64(entry.key.data(), entry.key.size(), entry.revision);
 }
 
@@ -28,7 +29,7 @@
     case ReadError::kUnreachable:
       return "unreachable";
     case ReadError::kHistoryGone:
-      return "history_gone";
+      return "history_compacted";
     case ReadError::kUnreadable:
       return "unreadable";
     case ReadError::kNotCurrent:
@@ -38,34 +39,35 @@
 }
 
 void ChangeLog::Reset(EntryMap entries, uint64_t as_of) {
-  found_at_.clear();
-  by_found_.clear();
+  recorded_at_.clear();
+  by_recorded_.clear();
   removed_.clear();
   versions_.clear();
   entries_ = std::move(entries);
   as_of_ = as_of;
-  known_from_ = as_of;
+  history_from_ = as_of;
   digest_ = 0;
-  for (const auto& [key, entry] : entries_) digest_ += HashOf(entry);
+  for (const auto& [key, entry] : entries_) digest_ += HashEntry(entry);
 }
 
-void ChangeLog::Found(const std::string& key, uint64_t at) {
-  const auto known = found_at_.find(key);
-  if (known != found_at_.end()) by_found_.erase({known->second, key});
-  found_at_[key] = at;
-  by_found_.emplace(at, key);
+void ChangeLog::RecordChange(const std::string& key, uint64_t at) {
+  const auto known = recorded_at_.find(key);
+  if (known != recorded_at_.end()) by_recorded_.erase({known->second, key});
+  recorded_at_[key] = at;
+  by_recorded_.emplace(at, key);
 }
 
-void ChangeLog::KeepVersion(const Entry& old) {
-  if (old.value.size() < kLeastBase) return;
-  const auto found = found_at_.find(old.key);
+void ChangeLog::SaveVersion(const Entry& old) {
+  if (old.value.size() < kMinDeltaValueBytes) return;
+  const auto recorded = recorded_at_.find(old.key);
   Version version;
   version.revision = old.revision;
-  version.found_at = found == found_at_.end() ? known_from_ : found->second;
+  version.recorded_at =
+      recorded == recorded_at_.end() ? history_from_ : recorded->second;
   version.value = std::make_shared<const std::string>(old.value);
   std::deque<Version>& kept = versions_[old.key];
   kept.push_back(std::move(version));
-  if (kept.size() > kMostVersions) kept.pop_front();
+  if (kept.size() > kMaxVersionsPerKey) kept.pop_front();
 }
 
 void ChangeLog::Apply(const std::vector<Entry>& changes, uint64_t as_of) {
@@ -76,50 +78,51 @@
     const auto known = entries_.find(change.key);
     if (!change.deleted) {
       if (known != entries_.end()) {
-        KeepVersion(known->second);
-        digest_ -= HashOf(known->second);
+        SaveVersion(known->second);
+        digest_ -= HashEntry(known->second);
       }
-      digest_ += HashOf(change);
+      digest_ += HashEntry(change);
       entries_[change.key] = change;
-      Found(change.key, at);
+      RecordChange(change.key, at);
     } else if (known != entries_.end()) {
       Remove(known, at);
     }
   }
-  while (removed_.size() > kMostRemoved) {
-    known_from_ = std::max(known_from_, removed_.begin()->first);
+  while (removed_.size() > kMaxRemovedKeys) {
+    history_from_ = std::max(history_from_, removed_.begin()->first);
     removed_.erase(removed_.begin());
   }
 }
 
 void ChangeLog::Remove(EntryMap::iterator entry, uint64_t at) {
   const std::string key = entry->first;
-  digest_ -= HashOf(entry->second);
+  digest_ -= HashEntry(entry->second);
   entries_.erase(entry);
   versions_.erase(key);
-  const auto found = found_at_.find(key);
-  if (found != found_at_.end()) {
-    by_found_.erase({found->second, key});
-    found_at_.erase(found);
+  const auto recorded = recorded_at_.find(key);
+  if (recorded != recorded_at_.end()) {
+    by_recorded_.erase({recorded->second, key});
+    recorded_at_.erase(recorded);
   }
   removed_.emplace(at, key);
 }
 
-Change ChangeLog::ChangeOf(const Entry& entry, uint64_t after) const {
+Change ChangeLog::MakeChange(const Entry& entry, uint64_t after) const {
   Change change;
   change.entry = entry;
   const auto kept = versions_.find(entry.key);
   if (kept == versions_.end()) return change;
   for (const Version& version : kept->second) {
-    if (version.found_at > after) break;
+    if (version.recorded_at > after) break;
     change.base = version.value;
     change.base_revision = version.revision;
   }
   return change;
 }
 
-std::optional<std::vector<Change>> ChangeLog::Since(uint64_t after) const {
-  if (after < known_from_) return std::nullopt;
+std::optional<std::vector<Change>> ChangeLog::ChangesSince(
+    uint64_t after) const {
+  if (after < history_from_) return std::nullopt;
   std::vector<Change> changes;
   for (auto it = removed_.lower_bound({after + 1, ""}); it != removed_.end();
        ++it) {
@@ -130,14 +133,14 @@
     change.entry.deleted = true;
     changes.push_back(std::move(change));
   }
-  for (auto it = by_found_.lower_bound({after + 1, ""}); it != by_found_.end();
-       ++it) {
-    changes.push_back(ChangeOf(entries_.at(it->second), after));
+  for (auto it = by_recorded_.lower_bound({after + 1, ""});
+       it != by_recorded_.end(); ++it) {
+    changes.push_back(MakeChange(entries_.at(it->second), after));
   }
   return changes;
 }
 
-std::vector<Change> ChangeLog::All() const {
+std::vector<Change> ChangeLog::AllChanges() const {
   std::vector<Change> changes;
   changes.reserve(entries_.size());
   for (const auto& [key, entry] : entries_) changes.push_back({entry, {}, 0});
--- a/src/libcore/mirror/mirror.cc
+++ b/src/libcore/mirror/mirror.cc
@@ -18,7 +18,7 @@
 
 void Mirror::Start(TimePoint now) {
   started_at_ = now;
-  Next(now);
+  StartNextCall(now);
 }
 
 std::string Mirror::ChooseRelay(TimePoint now) const {
@@ -29,60 +29,63 @@
   return "";
 }
 
-/// Instances that should follow the store hear from a relay while the store
-/// fails them: it may be out of reach of this one alone. The others follow the
-/// store while no relay serves them.
-void Mirror::Next(TimePoint now) {
+/// Instances that should follow the store use a relay while the store fails,
+/// since only this instance may be unable to reach it. The others follow the
+/// store while no relay answers.
+void Mirror::StartNextCall(TimePoint now) {
   due_ = TimePoint::max();
-  const bool wanted = plan_.follows_store || now < store_until_;
-  const bool possible = now >= store_not_before_;
+  const bool should_follow_store =
+      plan_.follows_store || now < follow_store_until_;
+  const bool store_allowed = now >= store_not_before_;
   const std::string relay = listed_ ? ChooseRelay(now) : "";
-  if (!relay.empty() && !(wanted && possible)) {
-    Follow(relay);
+  if (!relay.empty() && !(should_follow_store && store_allowed)) {
+    SetSource(relay);
     AskRelay(now);
     return;
   }
-  Follow("");
-  if (!possible) {
+  SetSource("");
+  if (!store_allowed) {
     due_ = store_not_before_;
     return;
   }
-  if (!plan_.follows_store) store_until_ = now + timing_.relays_again;
-  // A store in doubt is asked by a short watch first: that finds out sooner
-  // than a listing whether it answers, brings the changes that were missed, and
-  // costs the store less while all ask.
-  const bool doubtful = listed_ && !store_good_;
-  const bool whole = list_due_ || now >= reread_at_;
-  if (whole && !doubtful) {
-    List(now);
+  if (!plan_.follows_store)
+    follow_store_until_ = now + timing_.store_fallback_period;
+  // After a store failure a short watch goes first: it shows sooner than a
+  // listing whether the store answers, brings the missed changes, and costs the
+  // store less while all instances reconnect.
+  const bool store_unconfirmed = listed_ && !store_healthy_;
+  const bool whole = list_due_ || now >= full_read_at_;
+  if (whole && !store_unconfirmed) {
+    ListStore(now);
   } else {
     WatchStore(now);
   }
 }
 
-void Mirror::Follow(const std::string& relay) {
+void Mirror::SetSource(const std::string& relay) {
   relay_ = relay;
-  if (!relay.empty()) store_good_ = false;
+  if (!relay.empty()) store_healthy_ = false;
 }
 
-/// The present source has answered. Told once for each that does: while none
-/// does they are all tried, over and over.
-void Mirror::SourceServed() {
+/// Logs a change of source once the new source has answered; while no source
+/// answers, all are tried in turn without a log line each.
+void Mirror::OnSourceAnswer() {
   relay_not_before_.erase(relay_);
-  if (relay_ == told_relay_) return;
+  if (relay_ == logged_relay_) return;
   Event(events_, EventWeight::kState, "source_changed")
       .Add("to", relay_.empty() ? "store" : relay_)
-      .Add("from", told_relay_.empty() ? "store" : told_relay_)
+      .Add("from", logged_relay_.empty() ? "store" : logged_relay_)
       .Add("as_of", as_of());
-  told_relay_ = relay_;
+  logged_relay_ = relay_;
 }
 
-void Mirror::List(TimePoint now) {
+void Mirror::ListStore(TimePoint now) {
   call_ = Call::kList;
   sent_at_ = now;
-  if (listing_.empty()) listing_from_ = now;
+  if (listing_.empty()) listing_started_at_ = now;
   const std::string after = listing_.empty() ? "" : listing_.rbegin()->first;
-  port_->ListStore(after, {now + timing_.grace, timing_.list_silence});
+  port_->ListStore(after,
+                   {now + timing_.transfer_timeout, timing_.list_idle_timeout});
 }
 
 void Mirror::WatchStore(TimePoint now) {
@@ -90,63 +93,66 @@
     due_ = next_watch_at_;
     return;
   }
-  const bool first = first_start_ && now < started_at_ + timing_.first_span;
-  const milliseconds usual = plan_.relays ? timing_.relay_pace : timing_.pace;
-  next_watch_at_ = now + (first ? timing_.first_pace : usual);
-  milliseconds wait = timing_.wait;
-  milliseconds silence = timing_.watch_silence;
-  if (!store_good_) {
-    wait = timing_.trial_wait;
-    silence = timing_.trial_silence;
+  const bool first =
+      first_start_ && now < started_at_ + timing_.first_start_period;
+  const milliseconds normal =
+      plan_.relays ? timing_.relay_watch_interval : timing_.watch_interval;
+  next_watch_at_ = now + (first ? timing_.first_start_watch_interval : normal);
+  milliseconds wait = timing_.watch_wait;
+  milliseconds idle_timeout = timing_.watch_idle_timeout;
+  if (!store_healthy_) {
+    wait = timing_.probe_wait;
+    idle_timeout = timing_.probe_idle_timeout;
   }
   call_ = Call::kWatch;
   sent_at_ = now;
   wait_until_ = now + wait;
-  // A change can be as large as a listing; cut short it would be asked for over
-  // and over, and never be in force.
-  const TimePoint deadline = now + wait + timing_.grace;
-  port_->WatchStore(as_of(), wait, {deadline, wait + silence});
+  // A change can be as large as a listing. If it were aborted, it would be
+  // requested again and again and never take effect.
+  const TimePoint deadline = now + wait + timing_.transfer_timeout;
+  port_->WatchStore(as_of(), wait, {deadline, wait + idle_timeout});
 }
 
 void Mirror::AskRelay(TimePoint now) {
-  call_ = Call::kAsk;
+  call_ = Call::kAskRelay;
   sent_at_ = now;
-  listing_.clear();  // a listing that was begun is not gone on with later
-  const uint64_t after = ask_all_ ? 0 : as_of();
-  milliseconds wait = timing_.ask_wait;
-  const TimePoint trial_end = store_failed_at_ + timing_.relay_trial;
-  if (plan_.follows_store && now < trial_end) {
-    wait = std::min(wait, std::chrono::ceil<milliseconds>(trial_end - now));
+  listing_.clear();  // an incomplete listing is not resumed later
+  const uint64_t after = needs_full_copy_ ? 0 : as_of();
+  milliseconds wait = timing_.relay_wait;
+  const TimePoint probation_end = store_failed_at_ + timing_.relay_probation;
+  if (plan_.follows_store && now < probation_end) {
+    wait = std::min(wait, std::chrono::ceil<milliseconds>(probation_end - now));
   }
-  port_->AskRelay(relay_, after, wait, now + wait + timing_.ask_grace);
+  port_->AskRelay(relay_, after, wait,
+                  now + wait + timing_.relay_answer_timeout);
 }
 
 void Mirror::Answered(TimePoint now, const ReadResult& result) {
   const Call call = std::exchange(call_, Call::kNone);
-  if (call == Call::kAsk) {
+  if (call == Call::kAskRelay) {
     const bool behind = result && result.value().as_of < as_of();
     if (!result) {
-      RelayFailed(now, result.error());
+      OnRelayFailure(now, result.error());
     } else if (behind) {
-      RelayFailed(now, ReadError::kNotCurrent);
+      OnRelayFailure(now, ReadError::kNotCurrent);
     } else {
-      RelayServed(now, result.value());
+      OnRelayAnswer(now, result.value());
     }
   } else if (!result) {
-    StoreFailed(now, call, result.error());
+    OnStoreFailure(now, call, result.error());
   } else {
-    StoreServed(now);
-    SourceServed();
+    OnStoreAnswer(now);
+    OnSourceAnswer();
     if (call == Call::kList) {
-      PageListed(now, result.value());
+      OnListPage(now, result.value());
     } else {
-      Take(now, result.value());
-      // Without changes it was answered no sooner than its wait was over.
+      ApplyReading(now, result.value());
+      // Without changes, the answer came no sooner than the end of the wait.
       const bool waited_out = result.value().entries.empty();
-      Confirm(waited_out ? std::min(wait_until_, now) : sent_at_);
+      ConfirmCopy(waited_out ? std::min(wait_until_, now) : sent_at_);
     }
   }
-  Next(now);
+  StartNextCall(now);
 }
 
 RelayState Mirror::relay_state() const {
@@ -154,30 +160,31 @@
   return missed_changes_ ? RelayState::kCatchingUp : RelayState::kCurrent;
 }
 
-/// A relay's copy may be older than this one.
-void Mirror::Confirm(TimePoint when) {
+/// Keeps the later time: a relay's copy may be older than this one.
+void Mirror::ConfirmCopy(TimePoint when) {
   confirmed_at_ = std::max(confirmed_at_, when);
 }
 
-void Mirror::PageListed(TimePoint now, const Reading& page) {
-  // Pages are no snapshot: watching from the first page's revision on brings
-  // whatever changed while the others were read.
+void Mirror::OnListPage(TimePoint now, const Reading& page) {
+  // Pages are not a snapshot: watching from the first page's revision brings
+  // the changes made while the others were read.
   if (listing_.empty()) listing_as_of_ = page.as_of;
   for (const Entry& entry : page.entries) listing_[entry.key] = entry;
   list_due_ = page.more && !page.entries.empty();
   if (list_due_) return;
-  reread_at_ = now + timing_.reread;
+  full_read_at_ = now + timing_.full_read_interval;
   missed_changes_ = false;
   const EntryMap listing = std::exchange(listing_, EntryMap());
-  TakeAll(now, listing, listing_as_of_);
-  Confirm(listing_from_);
+  ApplyListing(now, listing, listing_as_of_);
+  ConfirmCopy(listing_started_at_);
 }
 
-void Mirror::TakeAll(TimePoint now, const EntryMap& listing, uint64_t as_of) {
+void Mirror::ApplyListing(TimePoint now, const EntryMap& listing,
+                          uint64_t as_of) {
   const bool first = !std::exchange(listed_, true);
   if (first) {
     log_.Reset(listing, as_of);
-    Tell(now, listing);
+    NotifyListener(now, listing);
     return;
   }
   EntryMap changed;
@@ -197,40 +204,42 @@
   Reading reading;
   reading.as_of = as_of;
   for (auto& [key, entry] : changed) reading.entries.push_back(entry);
-  Take(now, reading);
+  ApplyReading(now, reading);
 }
 
-void Mirror::Take(TimePoint now, const Reading& reading) {
+void Mirror::ApplyReading(TimePoint now, const Reading& reading) {
   if (reading.whole) {
     EntryMap listing;
     for (const Entry& entry : reading.entries) listing[entry.key] = entry;
-    TakeAll(now, listing, reading.as_of);
+    ApplyListing(now, listing, reading.as_of);
     return;
   }
   EntryMap changed;
   for (const Entry& entry : reading.entries) changed[entry.key] = entry;
   log_.Apply(reading.entries, reading.as_of);
-  if (!changed.empty()) Tell(now, changed);
+  if (!changed.empty()) NotifyListener(now, changed);
 }
 
-/// A relay can find a change that an earlier read had missed, and the store
-/// repeats none: an instance that has read beyond the change's revision would
-/// serve without it for good. Only the digests show it.
-void Mirror::Compare(const Reading& reading) {
+/// Requests all entries when the relay's digest differs. A relay can find a
+/// change late that an earlier read had missed, and neither the relay nor the
+/// store repeats changes: an instance that has read beyond the change's
+/// revision would never receive it.
+void Mirror::CompareDigest(const Reading& reading) {
   if (!reading.digest.has_value() || reading.digest == log_.digest()) return;
-  ask_all_ = !reading.whole;
+  needs_full_copy_ = !reading.whole;
   Event(events_, EventWeight::kState, "copy_differs")
       .Add("relay", relay_)
       .Add("as_of", as_of())
       .Add("whole", reading.whole ? "yes" : "no");
 }
 
-void Mirror::Tell(TimePoint now, const EntryMap& changed) {
+void Mirror::NotifyListener(TimePoint now, const EntryMap& changed) {
   switch (listener_(log_.entries(), changed)) {
     case WatchPace::kUsual:
       break;
     case WatchPace::kHurried:
-      next_watch_at_ = std::min(next_watch_at_, now + timing_.hurried_pace);
+      next_watch_at_ =
+          std::min(next_watch_at_, now + timing_.urgent_watch_interval);
       break;
     case WatchPace::kAtOnce:
       next_watch_at_ = TimePoint();
@@ -238,19 +247,20 @@
   }
 }
 
-milliseconds Mirror::RetryPause() {
-  constexpr uint32_t kMostDoublings = 4;
-  const bool eager = !listed_ && failures_ < timing_.eager_tries;
-  const uint32_t doublings = eager ? 0 : std::min(failures_, kMostDoublings);
-  const milliseconds longest =
-      std::min(timing_.retry * (1 << doublings), timing_.most_retry);
+milliseconds Mirror::RetryBackoff() {
+  constexpr uint32_t kMaxDoublings = 4;
+  const bool constant =
+      !listed_ && failures_ < timing_.initial_constant_retries;
+  const uint32_t doublings = constant ? 0 : std::min(failures_, kMaxDoublings);
+  const milliseconds longest = std::min(
+      timing_.retry_backoff * (1 << doublings), timing_.max_retry_backoff);
   std::uniform_int_distribution<int64_t> half(0, longest.count() / 2);
   return longest / 2 + milliseconds(half(random_));
 }
 
-/// Says how long was waited for what: a call that outlasts the silence in which
-/// it was sent shows here, and by how much the copy has aged meanwhile.
-void Mirror::TellStoreFailed(TimePoint now, Call call, ReadError error) {
+/// Logs the call, how long it was in flight and the age of the copy: a call
+/// that outlasts the outage in which it was sent is visible here.
+void Mirror::LogStoreFailure(TimePoint now, Call call, ReadError error) {
   const bool first = failing_since_ == TimePoint();
   Event line(events_, EventWeight::kState,
              first ? "store_lost" : "store_call_failed");
@@ -261,32 +271,32 @@
   if (listed_) line.Add("copy_age", now - confirmed_at_);
 }
 
-void Mirror::StoreFailed(TimePoint now, Call call, ReadError error) {
+void Mirror::OnStoreFailure(TimePoint now, Call call, ReadError error) {
   listing_.clear();
   list_due_ = true;
-  // Changes may have been made that the watch did not bring; the store itself
-  // is well.
+  // The store is healthy, but changes may have been missed.
   if (error == ReadError::kHistoryGone) {
-    store_good_ = true;
+    store_healthy_ = true;
     missed_changes_ = true;
-    Event(events_, EventWeight::kState, "history_gone")
+    Event(events_, EventWeight::kState, "history_compacted")
         .Add("as_of", as_of())
         .Add("copy_age", now - confirmed_at_);
     return;
   }
-  TellStoreFailed(now, call, error);
-  store_good_ = false;
+  LogStoreFailure(now, call, error);
+  store_healthy_ = false;
   ++failures_;
   store_failed_at_ = now;
-  const bool relayed = listed_ && !ChooseRelay(now).empty();
-  const bool rest = relayed && plan_.follows_store;
-  store_not_before_ = now + (rest ? timing_.store_again : RetryPause());
-  store_until_ = TimePoint();
+  const bool has_relay = listed_ && !ChooseRelay(now).empty();
+  const bool use_relay = has_relay && plan_.follows_store;
+  store_not_before_ =
+      now + (use_relay ? timing_.store_backoff : RetryBackoff());
+  follow_store_until_ = TimePoint();
   if (failing_since_ == TimePoint()) failing_since_ = now;
 }
 
-void Mirror::StoreServed(TimePoint now) {
-  store_good_ = true;
+void Mirror::OnStoreAnswer(TimePoint now) {
+  store_healthy_ = true;
   failures_ = 0;
   if (failing_since_ == TimePoint()) return;
   Event line(events_, EventWeight::kState, "store_regained");
@@ -295,27 +305,29 @@
   failing_since_ = TimePoint();
 }
 
-void Mirror::RelayServed(TimePoint now, const Reading& reading) {
-  ask_all_ = false;
-  SourceServed();
-  // The copy is as good as a listing: the store can be watched from here.
+void Mirror::OnRelayAnswer(TimePoint now, const Reading& reading) {
+  needs_full_copy_ = false;
+  OnSourceAnswer();
+  // The relay's copy replaces a listing: the store can be watched from here.
   list_due_ = false;
   missed_changes_ = false;
-  Take(now, reading);
-  Compare(reading);
-  // A copy that differs from the relay's is not shown to be current by it.
-  if (!ask_all_) Confirm(sent_at_ - reading.age);
-  if (!plan_.follows_store || now - confirmed_at_ <= timing_.fresh_copy) return;
-  const TimePoint soon = std::max(now, store_failed_at_ + timing_.relay_trial);
-  store_not_before_ = std::min(store_not_before_, soon);
+  ApplyReading(now, reading);
+  CompareDigest(reading);
+  // A copy that differs from the relay's is not confirmed by its answer.
+  if (!needs_full_copy_) ConfirmCopy(sent_at_ - reading.age);
+  if (!plan_.follows_store || now - confirmed_at_ <= timing_.max_fresh_copy_age)
+    return;
+  const TimePoint probation_end =
+      std::max(now, store_failed_at_ + timing_.relay_probation);
+  store_not_before_ = std::min(store_not_before_, probation_end);
 }
 
-void Mirror::RelayFailed(TimePoint now, ReadError error) {
-  if (error == ReadError::kHistoryGone && !ask_all_) {
-    ask_all_ = true;
+void Mirror::OnRelayFailure(TimePoint now, ReadError error) {
+  if (error == ReadError::kHistoryGone && !needs_full_copy_) {
+    needs_full_copy_ = true;
     return;
   }
-  ask_all_ = false;
+  needs_full_copy_ = false;
   const bool lost = error != ReadError::kNotCurrent;
   if (relay_not_before_.count(relay_) == 0) {
     Event(events_, EventWeight::kState, "relay_failed")
@@ -324,18 +336,18 @@
         .Add("as_of", as_of());
   }
   relay_not_before_[relay_] =
-      now + (lost ? timing_.after_lost : timing_.after_not_current);
-  // Silence takes long to notice. The next relay may be as silent, behind the
-  // same cut, so the store is asked what has been missed.
-  if (lost) store_until_ = now + timing_.relays_again;
-  // With no relay left everybody turns to the store, which may be down; they
-  // must not all do so at one moment.
-  if (ChooseRelay(now).empty()) store_not_before_ = now + RetryPause();
+      now + (lost ? timing_.lost_relay_backoff : timing_.stale_relay_backoff);
+  // An unreachable relay takes long to detect, and the next relay may be behind
+  // the same network partition, so the store is asked for missed changes.
+  if (lost) follow_store_until_ = now + timing_.store_fallback_period;
+  // With no relay left all instances turn to the store, which may be down; the
+  // backoff spreads their calls.
+  if (ChooseRelay(now).empty()) store_not_before_ = now + RetryBackoff();
 }
 
 void Mirror::Tick(TimePoint now) {
   if (now < due_ || call_ != Call::kNone) return;
-  Next(now);
+  StartNextCall(now);
 }
 
 }  // namespace ryefold::core::mirror
--- a/src/libcore/mirror/relay.cc
+++ b/src/libcore/mirror/relay.cc
@@ -12,17 +12,17 @@
   answer.as_of = log_->as_of();
   answer.digest = log_->digest();
   answer.confirmed_at = confirmed_at_;
-  auto changes = after == 0 ? std::nullopt : log_->Since(after);
+  auto changes = after == 0 ? std::nullopt : log_->ChangesSince(after);
   answer.whole = !changes.has_value();
-  answer.changes = answer.whole ? log_->All() : std::move(*changes);
+  answer.changes = answer.whole ? log_->AllChanges() : std::move(*changes);
   return answer;
 }
 
 void Relay::Asked(TimePoint now, RelayCall call, uint64_t after,
                   TimePoint wait_until) {
   const bool current = state_ == RelayState::kCurrent;
-  const bool news = current && after < log_->as_of();
-  if (state_ == RelayState::kNotCurrent || news || now >= wait_until) {
+  const bool has_changes = current && after < log_->as_of();
+  if (state_ == RelayState::kNotCurrent || has_changes || now >= wait_until) {
     port_->AnswerRelayed(call, AnswerFor(after));
     return;
   }
@@ -44,8 +44,8 @@
 void Relay::SetState(RelayState state, TimePoint confirmed_at) {
   confirmed_at_ = confirmed_at;
   if (std::exchange(state_, state) == state) return;
-  // While it catches up they wait on: told at once that it is not current, all
-  // of them would turn to the store in the moment that all relays list it.
+  // Calls stay pending while this instance catches up: if they were refused at
+  // once, all callers would turn to the store while all relays list it.
   if (state == RelayState::kNotCurrent) {
     AnswerIf([](const Waiting&) { return true; });
   }
--- a/src/libcore/mirror/relay_plan.cc
+++ b/src/libcore/mirror/relay_plan.cc
@@ -10,18 +10,18 @@
 namespace ryefold::core::mirror {
 namespace {
 
-/// Instances up to which everybody follows the store. A waiting call of each
-/// is nothing to a store that answers hundreds a second, and no change waits
-/// for another instance.
-constexpr size_t kAllFollow = 16;
-/// Instances that one relay serves. Each asks once a second when nothing
-/// changes, which is about 120 bytes both ways: 1.4 KB/s, of the 2 KB/s that
-/// control may use.
-constexpr size_t kPerRelay = 12;
-/// Relays of a failure domain at least: one may be lost.
-constexpr size_t kLeastRelays = 2;
-/// Relays of other failure domains that are kept in reserve.
-constexpr size_t kForeignSources = 2;
+/// Fleet size up to which all instances follow the store. A store that answers
+/// hundreds of calls a second can hold one for each, and changes arrive without
+/// a relay's delay.
+constexpr size_t kMaxFleetWithoutRelays = 16;
+/// Instances per relay. Each sends a call every second when nothing changes,
+/// about 120 bytes both ways: 1.4 KB/s of the 2 KB/s that control traffic may
+/// use.
+constexpr size_t kInstancesPerRelay = 12;
+/// Minimum number of relays in a failure domain, so that one may fail.
+constexpr size_t kMinRelaysPerDomain = 2;
+/// Relays of other failure domains that serve as fallback.
+constexpr size_t kFallbackSources = 2;
 
 uint64_t Rank(const std::string& key, const std::string& instance) {
   return XXH64(key.data(), key.size(),
@@ -30,7 +30,6 @@
 
 using Ranked = std::vector<std::pair<uint64_t, std::string>>;
 
-/// The relays of each failure domain.
 std::map<std::string, Ranked> RelaysByDomain(
     const std::vector<Member>& members) {
   std::map<std::string, Ranked> domains;
@@ -40,14 +39,15 @@
   }
   for (auto& [domain, ranked] : domains) {
     std::sort(ranked.begin(), ranked.end());
-    const size_t wanted =
-        std::max(kLeastRelays, (ranked.size() + kPerRelay - 1) / kPerRelay);
-    ranked.resize(std::min(wanted, ranked.size()));
+    const size_t relay_count =
+        std::max(kMinRelaysPerDomain,
+                 (ranked.size() + kInstancesPerRelay - 1) / kInstancesPerRelay);
+    ranked.resize(std::min(relay_count, ranked.size()));
   }
   return domains;
 }
 
-/// `relays` in an order of this instance's own, so that instances spread.
+/// Returns `relays` in an order that depends on `self`, to spread the load.
 std::vector<std::string> OrderFor(const std::string& self,
                                   const Ranked& relays) {
   Ranked ranked;
@@ -71,23 +71,24 @@
 RelayPlan PlanRelays(const Member& self, const std::vector<Member>& members) {
   const std::map<std::string, Ranked> domains = RelaysByDomain(members);
   RelayPlan plan;
-  Ranked foreign;
+  Ranked other_domains;
   for (const auto& [domain, relays] : domains) {
     if (domain == self.failure_domain) {
       plan.sources = OrderFor(self.instance, relays);
       plan.relays = Contains(relays, self.instance);
     } else {
-      foreign.insert(foreign.end(), relays.begin(), relays.end());
+      other_domains.insert(other_domains.end(), relays.begin(), relays.end());
     }
   }
-  std::vector<std::string> reserve = OrderFor(self.instance, foreign);
-  reserve.resize(std::min(reserve.size(), kForeignSources));
-  plan.sources.insert(plan.sources.end(), reserve.begin(), reserve.end());
-  const bool known = std::any_of(
+  std::vector<std::string> fallback = OrderFor(self.instance, other_domains);
+  fallback.resize(std::min(fallback.size(), kFallbackSources));
+  plan.sources.insert(plan.sources.end(), fallback.begin(), fallback.end());
+  const bool is_member = std::any_of(
       members.begin(), members.end(),
       [&self](const Member& each) { return each.instance == self.instance; });
-  plan.follows_store = members.size() <= kAllFollow || plan.relays || !known;
-  plan.relays = plan.relays && members.size() > kAllFollow;
+  plan.follows_store =
+      members.size() <= kMaxFleetWithoutRelays || plan.relays || !is_member;
+  plan.relays = plan.relays && members.size() > kMaxFleetWithoutRelays;
   return plan;
 }
 
--- a/src/libsettings/catalog.cc
+++ b/src/libsettings/catalog.cc
@@ -26,40 +26,41 @@
   return key.compare(0, prefix.size(), prefix) == 0;
 }
 
-/// The same object without comments and blanks, members in order.
+/// Returns the same object without comments and white space, members sorted.
 std::string Canonical(const std::string& text) {
-  Json::CharReaderBuilder reading;
-  const std::unique_ptr<Json::CharReader> reader(reading.newCharReader());
+  Json::CharReaderBuilder reader_builder;
+  const std::unique_ptr<Json::CharReader> reader(
+      reader_builder.newCharReader());
   Json::Value value;
   std::string problem;
   if (!reader->parse(text.data(), text.data() + text.size(), &value,
                      &problem)) {
     return text;
   }
-  Json::StreamWriterBuilder writing;
-  writing["indentation"] = "";
-  writing["commentStyle"] = "None";
-  return Json::writeString(writing, value);
+  Json::StreamWriterBuilder writer_builder;
+  writer_builder["indentation"] = "";
+  writer_builder["commentStyle"] = "None";
+  return Json::writeString(writer_builder, value);
 }
 
-/// Everything read from a set of documents, before they are joined.
+/// The contents of a set of documents, before templates are applied.
 struct Parts {
-  std::map<std::string, Terms> templates;
+  std::map<std::string, WorkspaceParameters> templates;
   std::map<std::string, core::GroupSpec> groups;
   std::map<std::string, WorkspaceDocument> workspaces;
 };
 
-/// Tells what is wrong between one workspace and what it refers to.
-/// `report` takes member, problem and what is allowed.
+/// Reports a problem between a workspace and the documents it refers to, as
+/// member, problem and allowed values.
 using Report = std::function<void(std::string_view, std::string, std::string)>;
 
 template <class Map>
 std::string NamesOf(const Map& map) {
-  constexpr size_t kMost = 8;
+  constexpr size_t kMaxNames = 8;
   std::string names;
   size_t count = 0;
-  for (const auto& [name, unused] : map) {
-    if (++count > kMost) return names + ", ...";
+  for (const auto& [name, value] : map) {
+    if (++count > kMaxNames) return names + ", ...";
     names += (names.empty() ? "" : ", ") + name;
   }
   return names.empty() ? "none is there yet" : "one of: " + names;
@@ -78,7 +79,8 @@
            NamesOf(parts.groups));
   }
   if (base == parts.templates.end() || group == parts.groups.end()) return;
-  const uint32_t share = Combine(base->second, workspace).connection_share;
+  const uint32_t share =
+      ApplyOverrides(base->second, workspace).connection_share;
   const uint32_t usable = UsableConnections(group->second);
   if (share > usable) {
     report("",
@@ -89,7 +91,7 @@
   }
 }
 
-/// Databases of one list that the other lacks.
+/// Returns the number of databases in `from` that are not in `in`.
 size_t CountMissing(const std::vector<core::DatabaseSpec>& from,
                     const std::vector<core::DatabaseSpec>& in) {
   return static_cast<size_t>(std::count_if(
@@ -101,10 +103,10 @@
       }));
 }
 
-/// With two databases changed at once, a majority of the old set and one of
-/// the new need not share a database: instances that still have the old list
-/// could confirm writes which a promotion under the new list does not see, and
-/// callers would lose what they were told is done.
+/// Reports more than one changed database: a majority of the old set and one of
+/// the new need not share a database then. Instances that still use the old
+/// list could confirm writes that a promotion under the new list does not find,
+/// and acknowledged writes would be lost.
 void CheckDatabaseChange(const core::GroupSpec& before,
                          const core::GroupSpec& after, Reader* reader) {
   const size_t changed = CountMissing(before.databases, after.databases) +
@@ -116,7 +118,7 @@
                  "group is level");
 }
 
-void ReadOne(const std::string& key, Reader* reader, Parts* parts) {
+void ReadDocument(const std::string& key, Reader* reader, Parts* parts) {
   if (HasPrefix(key, kTemplate)) {
     parts->templates[key.substr(kTemplate.size())] = ReadTemplate(reader);
   } else if (HasPrefix(key, kGroup)) {
@@ -127,17 +129,18 @@
   }
 }
 
-/// Reads published documents; one with findings is left out.
-Parts ReadAll(const Documents& documents, Findings* findings) {
+/// Reads published documents; a document with findings is left out.
+Parts ReadDocuments(const Documents& documents, Findings* findings) {
   Parts parts;
   for (const auto& [key, text] : documents) {
     wire::Document document(key, text, /*comments=*/true);
-    Findings own;
-    Reader reader(&document, &own);
+    Findings document_findings;
+    Reader reader(&document, &document_findings);
     Parts read;
-    if (document.ok()) ReadOne(key, &reader, &read);
-    findings->insert(findings->end(), own.begin(), own.end());
-    if (!own.empty()) continue;
+    if (document.ok()) ReadDocument(key, &reader, &read);
+    findings->insert(findings->end(), document_findings.begin(),
+                     document_findings.end());
+    if (!document_findings.empty()) continue;
     parts.templates.merge(read.templates);
     parts.groups.merge(read.groups);
     parts.workspaces.merge(read.workspaces);
@@ -145,27 +148,27 @@
   return parts;
 }
 
-core::WorkspaceSpec Join(const std::string& name, const Terms& terms,
-                         const WorkspaceDocument& workspace) {
+core::WorkspaceSpec MakeWorkspaceSpec(const std::string& name,
+                                      const WorkspaceParameters& parameters,
+                                      const WorkspaceDocument& workspace) {
   core::WorkspaceSpec spec;
   spec.policy.workspace = name;
-  spec.policy.priority = terms.priority;
-  spec.policy.weight = terms.weight;
-  spec.policy.connection_share = terms.connection_share;
-  spec.policy.max_age = terms.max_age;
+  spec.policy.priority = parameters.priority;
+  spec.policy.weight = parameters.weight;
+  spec.policy.connection_share = parameters.connection_share;
+  spec.policy.max_age = parameters.max_age;
   spec.group = workspace.group;
   spec.key_hash = workspace.key_hash;
   spec.key_salt = workspace.key_salt;
   return spec;
 }
 
-/// One of the three sections of an operators' file.
 class Section {
  public:
   Section(std::string member, std::string_view prefix)
       : member_(std::move(member)), prefix_(prefix) {}
 
-  /// Reads the section's objects into `parts` and their texts into
+  /// Reads the section's objects into `parts` and their canonical texts into
   /// `documents`.
   void Read(Reader* root, Parts* parts, Documents* documents) const {
     std::vector<std::string> names;
@@ -176,7 +179,7 @@
                        "1 to 64 bytes without blanks, quotes, '~' and '/'");
       }
       names.push_back(name);
-      ReadOne(prefix_ + name, reader, parts);
+      ReadDocument(prefix_ + name, reader, parts);
     });
     root->Object(member_, [&](Reader* section) {
       for (const std::string& name : names) {
@@ -204,10 +207,11 @@
   Section("groups", kGroup).Read(&root, &parts, &documents);
   Section("workspaces", kWorkspace).Read(&root, &parts, &documents);
   root.Finish();
-  // What is published already was checked then; the file goes before it.
+  // Published documents were checked when they were published. Documents in the
+  // file take precedence over them.
   Findings published;
   Parts all = parts;
-  Parts before = ReadAll(base, &published);
+  Parts before = ReadDocuments(base, &published);
   root.Members("groups", [&](const std::string& name, Reader* reader) {
     const auto old = before.groups.find(name);
     if (old == before.groups.end()) return;
@@ -228,22 +232,25 @@
 
 core::Catalog Resolve(const Documents& documents, Findings* findings) {
   core::Catalog catalog;
-  const Parts parts = ReadAll(documents, findings);
+  const Parts parts = ReadDocuments(documents, findings);
   catalog.groups = parts.groups;
   for (const auto& [name, workspace] : parts.workspaces) {
     const std::string key = std::string(kWorkspace) + name;
-    bool sound = true;
+    bool valid = true;
     CheckReferences(
         parts, workspace,
         [&](std::string_view member, std::string problem, std::string allowed) {
-          // A share that is too large is served as far as it goes.
-          sound = sound && member.empty();
+          // A connection share that is too large is limited to the available
+          // connections.
+          valid = valid && member.empty();
           findings->push_back({key, 0, 0, std::string(member),
                                std::move(problem), std::move(allowed)});
         });
-    if (!sound) continue;
-    const Terms& base = parts.templates.at(workspace.template_name);
-    catalog.workspaces[name] = Join(name, Combine(base, workspace), workspace);
+    if (!valid) continue;
+    const WorkspaceParameters& base =
+        parts.templates.at(workspace.template_name);
+    catalog.workspaces[name] =
+        MakeWorkspaceSpec(name, ApplyOverrides(base, workspace), workspace);
   }
   return catalog;
 }
--- a/src/libsettings/document_parts.cc
+++ b/src/libsettings/document_parts.cc
@@ -13,17 +13,17 @@
 constexpr int64_t kMaxConnections = 10000;
 constexpr int64_t kMaxAgeMs = 86400000;
 constexpr size_t kHashDigits = 64;
-constexpr size_t kMinSalt = 8;
+constexpr size_t kMinSaltBytes = 8;
 
-uint32_t ReadCount(Reader* reader, std::string_view name, uint32_t otherwise,
-                   int64_t least, int64_t most) {
-  return static_cast<uint32_t>(reader->Int(name, otherwise, least, most));
+uint32_t ReadCount(Reader* reader, std::string_view name,
+                   uint32_t default_value, int64_t min, int64_t max) {
+  return static_cast<uint32_t>(reader->Int(name, default_value, min, max));
 }
 
 std::optional<uint32_t> ReadOverride(Reader* reader, std::string_view name,
-                                     int64_t least, int64_t most) {
+                                     int64_t min, int64_t max) {
   if (!reader->Has(name)) return std::nullopt;
-  return static_cast<uint32_t>(reader->Int(name, least, least, most));
+  return static_cast<uint32_t>(reader->Int(name, min, min, max));
 }
 
 void ReadParameters(Reader* reader, WorkspaceDocument* workspace) {
@@ -38,29 +38,30 @@
   reader->Finish();
 }
 
-void CheckDatabases(Reader* reader, const std::vector<std::string>& names) {
-  const std::set<std::string> distinct(names.begin(), names.end());
-  if (distinct.size() != names.size()) {
+void CheckDatabases(Reader* reader, const std::vector<std::string>& databases) {
+  const std::set<std::string> unique(databases.begin(), databases.end());
+  if (unique.size() != databases.size()) {
     reader->Report("databases", "a database is named twice", "distinct names");
   }
-  // With two databases a majority is both: the loss of either stops writes.
-  // One, three, five are sound; two and four are allowed and only waste one.
-  if (names.empty()) {
+  // One, three and five databases are useful sizes. With two, the loss of
+  // either stops writes, since a majority is both; two and four are allowed but
+  // tolerate no more failures than one and three.
+  if (databases.empty()) {
     reader->Report("databases", "is missing or empty", "1 to 15 names");
   }
 }
 
 }  // namespace
 
-Terms ReadTemplate(Reader* reader) {
-  Terms terms;
-  terms.priority = ReadCount(reader, "priority", 0, 0, kLowestPriority);
-  terms.weight = ReadCount(reader, "weight", 1, 1, kMaxWeight);
-  terms.connection_share =
+WorkspaceParameters ReadTemplate(Reader* reader) {
+  WorkspaceParameters parameters;
+  parameters.priority = ReadCount(reader, "priority", 0, 0, kLowestPriority);
+  parameters.weight = ReadCount(reader, "weight", 1, 1, kMaxWeight);
+  parameters.connection_share =
       ReadCount(reader, "connection_share", 1, 1, kMaxConnections);
-  terms.max_age = milliseconds(reader->Int("max_age_ms", 0, 0, kMaxAgeMs));
+  parameters.max_age = milliseconds(reader->Int("max_age_ms", 0, 0, kMaxAgeMs));
   reader->Finish();
-  return terms;
+  return parameters;
 }
 
 core::GroupSpec ReadGroup(const std::string& name, Reader* reader) {
@@ -103,7 +104,7 @@
     reader->Report("key_hash", "not a hash",
                    "64 lower-case hex digits, SHA-256 of salt and key");
   }
-  if (workspace.key_salt.size() < kMinSalt) {
+  if (workspace.key_salt.size() < kMinSaltBytes) {
     reader->Report("key_salt", "too short", "8 bytes or more");
   }
   reader->Object("parameters", [&workspace](Reader* parameters) {
@@ -113,14 +114,15 @@
   return workspace;
 }
 
-Terms Combine(const Terms& base, const WorkspaceDocument& workspace) {
-  Terms terms = base;
-  terms.priority = workspace.priority.value_or(base.priority);
-  terms.weight = workspace.weight.value_or(base.weight);
-  terms.connection_share =
+WorkspaceParameters ApplyOverrides(const WorkspaceParameters& base,
+                                   const WorkspaceDocument& workspace) {
+  WorkspaceParameters parameters = base;
+  parameters.priority = workspace.priority.value_or(base.priority);
+  parameters.weight = workspace.weight.value_or(base.weight);
+  parameters.connection_share =
       workspace.connection_share.value_or(base.connection_share);
-  terms.max_age = workspace.max_age.value_or(base.max_age);
-  return terms;
+  parameters.max_age = workspace.max_age.value_or(base.max_age);
+  return parameters;
 }
 
 uint32_t UsableConnections(const core::GroupSpec& group) {
--- a/src/libsettings/document_parts.h
+++ b/src/libsettings/document_parts.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The three kinds of documents, read into aggregates. Used for operators'
-// files and for what the store holds alike.
+// Parsers for the three kinds of documents, in operators' files and in the
+// store.
 
 #include <chrono>
 #include <cstdint>
@@ -13,15 +13,15 @@
 
 namespace ryefold::settings {
 
-/// What a template sets, and what a workspace may set anew for itself.
-struct Terms {
+/// Parameters that a template sets and a workspace may override.
+struct WorkspaceParameters {
   uint32_t priority = 0;
   uint32_t weight = 1;
   uint32_t connection_share = 1;
   std::chrono::milliseconds max_age{0};
 };
 
-/// A workspace's document before its template is known.
+/// A workspace's document before its template is applied.
 struct WorkspaceDocument {
   std::string template_name;
   std::string group;
@@ -33,14 +33,15 @@
   std::optional<std::chrono::milliseconds> max_age;
 };
 
-Terms ReadTemplate(wire::Reader* reader);
+WorkspaceParameters ReadTemplate(wire::Reader* reader);
 core::GroupSpec ReadGroup(const std::string& name, wire::Reader* reader);
 WorkspaceDocument ReadWorkspace(wire::Reader* reader);
 
-/// The template's terms with the workspace's own parameters over them.
-Terms Combine(const Terms& base, const WorkspaceDocument& workspace);
+/// Returns the template's parameters, overridden by the workspace's own.
+WorkspaceParameters ApplyOverrides(const WorkspaceParameters& base,
+                                   const WorkspaceDocument& workspace);
 
-/// Connections to each database that workspaces share.
+/// Returns the number of connections to each database that workspaces share.
 uint32_t UsableConnections(const core::GroupSpec& group);
 
 }  // namespace ryefold::settings
--- a/src/libsettings/instance.cc
+++ b/src/libsettings/instance.cc
@@ -18,15 +18,16 @@
 constexpr const char* kAddressForm = "ip:port, such as 10.0.0.5:6400";
 
 milliseconds ReadTime(Reader* reader, std::string_view name,
-                      milliseconds otherwise, int64_t least, int64_t most) {
-  return milliseconds(reader->Int(name, otherwise.count(), least, most));
+                      milliseconds default_value, int64_t min, int64_t max) {
+  return milliseconds(reader->Int(name, default_value.count(), min, max));
 }
 
 std::string ReadName(Reader* reader, std::string_view name) {
   std::string text = reader->RequiredString(name);
-  // Names travel in keys, paths and transaction ids, which use '~' and '/'.
-  const bool bad = text.find_first_of("~/\" \n") != std::string::npos;
-  if (bad || text.size() > kMaxName) {
+  // Names are parts of keys, paths and transaction ids, which use '~' and '/'
+  // as separators.
+  const bool has_separator = text.find_first_of("~/\" \n") != std::string::npos;
+  if (has_separator || text.size() > kMaxName) {
     reader->Report(name, "not a name",
                    "1 to 64 bytes without blanks, quotes, '~' and '/'");
   }
@@ -43,15 +44,15 @@
 
 std::vector<std::string> ReadAddresses(Reader* reader, std::string_view name,
                                        bool required) {
-  std::vector<std::string> all = reader->Strings(name);
-  for (const std::string& text : all) {
+  std::vector<std::string> addresses = reader->Strings(name);
+  for (const std::string& text : addresses) {
     if (IsAddress(text)) continue;
     reader->Report(name, "\"" + text + "\" is no address", kAddressForm);
   }
-  if (required && all.empty()) {
+  if (required && addresses.empty()) {
     reader->Report(name, "is missing or empty", "a list of addresses");
   }
-  return all;
+  return addresses;
 }
 
 void ReadLimits(Reader* reader, wire::HttpLimits* limits) {
@@ -83,8 +84,9 @@
       ReadTime(reader, "proposal_retry_ms", timing->proposal_retry, 10, 10000);
   timing->proposal_call =
       ReadTime(reader, "proposal_call_ms", timing->proposal_call, 10, 10000);
-  // A database that waits as asked would otherwise be taken for lost whenever
-  // nothing changes in it: a promotion every second of an idle group.
+  // Otherwise a database that waits as requested would be suspected whenever it
+  // has no changes, which would cause a promotion every second in an idle
+  // group.
   if (timing->lost_after <= timing->status_wait) {
     reader->Report("lost_after_ms", "not longer than status_wait_ms",
                    "more than status_wait_ms");
--- a/src/libtask/event_log.cc
+++ b/src/libtask/event_log.cc
@@ -12,11 +12,11 @@
 
 using std::chrono::milliseconds;
 
-/// Pace of writing: late enough to save system calls, early enough that a
-/// process that is killed loses little.
-constexpr milliseconds kPace{250};
-/// Bytes that wait for a slow reader before lines are left out.
-constexpr size_t kMaxWaiting = size_t{256} << 10;
+/// Interval of writes: long enough to save system calls, short enough that a
+/// process that is killed loses few lines.
+constexpr milliseconds kFlushInterval{250};
+/// Maximum number of buffered bytes; lines beyond it are dropped.
+constexpr size_t kMaxBufferedBytes = size_t{256} << 10;
 
 std::string WallTime() {
   timeval now{};
@@ -36,8 +36,8 @@
     : loop_(loop), fd_(fd), instance_(std::move(instance)), budget_(budget) {
   fcntl(fd_, F_SETFL, fcntl(fd_, F_GETFL) | O_NONBLOCK);
   second_ends_ = std::chrono::steady_clock::now() + std::chrono::seconds(1);
-  timer_ =
-      loop_->At(std::chrono::steady_clock::now() + kPace, [this] { Tick(); });
+  timer_ = loop_->At(std::chrono::steady_clock::now() + kFlushInterval,
+                     [this] { Tick(); });
 }
 
 EventLog::~EventLog() {
@@ -49,15 +49,15 @@
   const bool request = weight == core::EventWeight::kRequest;
   const bool full = request ? request_lines_ >= budget_.request_lines
                             : state_lines_ >= budget_.state_lines;
-  if (!full && waiting_.size() < kMaxWaiting) return true;
-  ++left_out_;
+  if (!full && buffer_.size() < kMaxBufferedBytes) return true;
+  ++dropped_lines_;
   return false;
 }
 
 void EventLog::Append(std::string_view line) {
-  waiting_.append("time=").append(WallTime());
-  waiting_.append(" instance=").append(instance_);
-  waiting_.append(" ").append(line).append("\n");
+  buffer_.append("time=").append(WallTime());
+  buffer_.append(" instance=").append(instance_);
+  buffer_.append(" ").append(line).append("\n");
 }
 
 void EventLog::Write(core::EventWeight weight, std::string_view line) {
@@ -66,10 +66,10 @@
 }
 
 void EventLog::Flush() {
-  while (!waiting_.empty()) {
-    const ssize_t written = write(fd_, waiting_.data(), waiting_.size());
+  while (!buffer_.empty()) {
+    const ssize_t written = write(fd_, buffer_.data(), buffer_.size());
     if (written <= 0) return;
-    waiting_.erase(0, static_cast<size_t>(written));
+    buffer_.erase(0, static_cast<size_t>(written));
   }
 }
 
@@ -79,14 +79,14 @@
     second_ends_ = now + std::chrono::seconds(1);
     request_lines_ = 0;
     state_lines_ = 0;
-    if (left_out_ != left_out_told_) {
+    if (dropped_lines_ != reported_dropped_lines_) {
       Append("event=lines_left_out count=" +
-             std::to_string(left_out_ - left_out_told_));
-      left_out_told_ = left_out_;
+             std::to_string(dropped_lines_ - reported_dropped_lines_));
+      reported_dropped_lines_ = dropped_lines_;
     }
   }
   Flush();
-  timer_ = loop_->At(now + kPace, [this] { Tick(); });
+  timer_ = loop_->At(now + kFlushInterval, [this] { Tick(); });
 }
 
 }  // namespace ryefold::task
--- a/src/libtask/loop.cc
+++ b/src/libtask/loop.cc
@@ -18,20 +18,20 @@
 
 using Work = std::function<void()>;
 
-/// Coalesces a socket's changes of interest within one turn of the loop into
-/// one system call; evhttp makes several for each request.
+/// Creates an event base that combines a socket's interest changes within one
+/// loop iteration into one system call; evhttp makes several for each request.
 event_base* MakeBase() {
   event_config* config = event_config_new();
   event_config_set_flag(config, EVENT_BASE_FLAG_EPOLL_USE_CHANGELIST);
   event_config_set_flag(config, EVENT_BASE_FLAG_NOLOCK);
   event_base* base = event_base_new_with_config(config);
   event_config_free(config);
-  CHECK(base != nullptr) << "no event base";
+  CHECK(base != nullptr) << "cannot create the event base";
   return base;
 }
 
-/// Time until `when`, rounded up so that a timer never fires early.
-timeval Until(TimePoint when) {
+/// Returns the time until `when`, rounded up so that a timer never fires early.
+timeval TimeUntil(TimePoint when) {
   const auto left = std::chrono::ceil<std::chrono::microseconds>(
       when - std::chrono::steady_clock::now());
   const int64_t micros = std::max<int64_t>(left.count(), 0);
@@ -45,14 +45,14 @@
 class Loop::Impl {
  public:
   Impl() : base_(MakeBase()), wake_fd_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-    CHECK_GE(wake_fd_, 0) << "no eventfd";
+    CHECK_GE(wake_fd_, 0) << "cannot create the eventfd";
     wake_ = event_new(base_, wake_fd_, EV_READ | EV_PERSIST, OnWake, this);
     event_add(wake_, nullptr);
     timer_ = evtimer_new(base_, OnTimer, this);
   }
 
   ~Impl() {
-    // What is still posted may hold objects that use the base when destroyed.
+    // Pending work may own objects whose destructors use the base.
     posted_.clear();
     timers_.clear();
     event_free(timer_);
@@ -108,7 +108,7 @@
 
   void Wake() const {
     const uint64_t one = 1;
-    // Fails only when the counter is full, and then the loop wakes anyway.
+    // Fails only when the counter is full, in which case the loop wakes anyway.
     const ssize_t written = write(wake_fd_, &one, sizeof(one));
     (void)written;
   }
@@ -124,7 +124,7 @@
       batch.swap(posted_);
     }
     for (Work& work : batch) {
-      if (!Guard(work)) return;
+      if (!RunGuarded(work)) return;
     }
   }
 
@@ -133,15 +133,15 @@
     while (!timers_.empty() && timers_.begin()->first.first <= now) {
       auto due = timers_.extract(timers_.begin());
       times_.erase(due.key().second);
-      if (!Guard(due.mapped())) return;
+      if (!RunGuarded(due.mapped())) return;
     }
     if (!timers_.empty()) Arm();
   }
 
-  /// Runs `work`. An exception that crossed libevent's C frames would leave
-  /// its event queues half worked through; it is kept and thrown by `Run`
-  /// after the loop has ended in order.
-  bool Guard(const Work& work) {
+  /// Runs `work` and returns false if it throws. An exception that crossed
+  /// libevent's C frames would leave its event queues inconsistent, so it is
+  /// stored, and `Run` throws it after the loop has ended.
+  bool RunGuarded(const Work& work) {
     try {
       work();
       return true;
@@ -153,7 +153,7 @@
   }
 
   void Arm() {
-    const timeval left = Until(timers_.begin()->first.first);
+    const timeval left = TimeUntil(timers_.begin()->first.first);
     event_add(timer_, &left);
   }
 
--- a/src/libtask/supervisor.cc
+++ b/src/libtask/supervisor.cc
@@ -17,10 +17,10 @@
 
 constexpr size_t kThreadNameBytes = 15;
 
-/// Set on every child's thread. Joining children there would wait for itself.
-thread_local bool on_child_thread = false;
+/// True on every child's thread, where joining the children would deadlock.
+thread_local bool is_child_thread = false;
 
-std::string Text(const std::exception_ptr& failure) {
+std::string FailureText(const std::exception_ptr& failure) {
   try {
     std::rethrow_exception(failure);
   } catch (const std::exception& e) {
@@ -30,45 +30,46 @@
   }
 }
 
-/// Runs `step`; the text of its failure, empty when there was none.
+/// Runs `step`. Returns the text of its failure, empty if there was none.
 template <class Step>
-std::string Attempt(const Step& step) {
+std::string CatchFailure(const Step& step) {
   try {
     step();
     return {};
   } catch (...) {
-    return Text(std::current_exception());
+    return FailureText(std::current_exception());
   }
 }
 
-/// Counts restarts within the sliding time that a limit allows.
+/// Counts restarts within the sliding window of a limit.
 class RestartCounter {
  public:
   explicit RestartCounter(RestartLimit limit) : limit_(limit) {}
 
-  /// Notes a restart; false when it would be one too many.
-  bool Take(Clock::time_point now) {
-    while (!until_.empty() && until_.front() <= now) until_.pop_front();
-    if (until_.size() >= limit_.restarts) return false;
-    until_.push_back(now + limit_.within);
+  /// Counts a restart. Returns false if it exceeds the limit.
+  bool TryCount(Clock::time_point now) {
+    while (!expiry_.empty() && expiry_.front() <= now) expiry_.pop_front();
+    if (expiry_.size() >= limit_.restarts) return false;
+    expiry_.push_back(now + limit_.within);
     return true;
   }
 
  private:
   const RestartLimit limit_;
-  /// When each counted restart ceases to count.
-  std::deque<Clock::time_point> until_;
+  /// When each counted restart leaves the window.
+  std::deque<Clock::time_point> expiry_;
 };
 
 /// One run of a child, on the child's thread.
 class Run {
  public:
   virtual ~Run() = default;
-  /// Blocks until the run is over; `started` is called once it is set up. The
-  /// text of the failure, empty on an ordinary end.
+  /// Blocks until the run ends and calls `started` once setup is complete.
+  /// Returns the text of the failure, empty after a normal end.
   virtual std::string Execute(const std::function<void()>& started) = 0;
-  /// Asks for the end, from any thread, also before `Execute`.
-  virtual void End() = 0;
+  /// Requests the end of the run. May be called from any thread, also before
+  /// `Execute`.
+  virtual void RequestEnd() = 0;
 };
 
 class TaskRun : public Run {
@@ -78,18 +79,18 @@
 
   std::string Execute(const std::function<void()>& started) override {
     std::unique_ptr<Task> task;
-    std::string failure = Attempt([&] { task = factory_(); });
-    if (task == nullptr) return failure.empty() ? "no task made" : failure;
-    failure = Attempt([&] {
+    std::string failure = CatchFailure([&] { task = factory_(); });
+    if (task == nullptr) return failure.empty() ? "no task created" : failure;
+    failure = CatchFailure([&] {
       task->Start(&loop_);
       started();
       loop_.Run();
     });
-    const std::string stop = Attempt([&] { task->Stop(); });
-    return failure.empty() ? stop : failure;
+    const std::string stop_failure = CatchFailure([&] { task->Stop(); });
+    return failure.empty() ? stop_failure : failure;
   }
 
-  void End() override { loop_.Stop(); }
+  void RequestEnd() override { loop_.Stop(); }
 
  private:
   Supervisor::Factory factory_;
@@ -109,7 +110,7 @@
     return supervisor_.Wait() ? "" : "restart limit exceeded";
   }
 
-  void End() override { supervisor_.RequestShutdown(); }
+  void RequestEnd() override { supervisor_.RequestShutdown(); }
 
  private:
   Supervisor supervisor_;
@@ -143,8 +144,8 @@
     for (const auto& child : children_) {
       std::unique_lock<std::mutex> lock(mutex_);
       if (ending()) return;
-      child->thread = std::thread([this, c = child.get()] { Live(c); });
-      changed_.wait(lock, [&] { return child->up || child->over; });
+      child->thread = std::thread([this, c = child.get()] { RunUntilEnd(c); });
+      changed_.wait(lock, [&] { return child->started || child->finished; });
     }
   }
 
@@ -155,7 +156,7 @@
     }
     StopChildren();
     std::lock_guard<std::mutex> lock(mutex_);
-    return !gave_up_;
+    return !limit_exceeded_;
   }
 
   void RequestShutdown() {
@@ -166,7 +167,7 @@
 
   void Shutdown() {
     RequestShutdown();
-    if (!on_child_thread) StopChildren();
+    if (!is_child_thread) StopChildren();
   }
 
   uint64_t restarts() const {
@@ -179,35 +180,36 @@
     std::string name;
     MakeRun make;
     std::thread thread;
-    /// The run under way, so that it can be ended.
+    /// The current run.
     std::shared_ptr<Run> run;
-    bool up = false;
-    bool over = false;
+    bool started = false;
+    bool finished = false;
     bool ending = false;
   };
 
-  bool ending() const { return shutdown_ || gave_up_; }
+  bool ending() const { return shutdown_ || limit_exceeded_; }
 
-  /// The child's thread: one run after the other until it is to end.
-  void Live(Child* child) {
-    on_child_thread = true;
-    // Seen by top, gdb and /proc; the kernel keeps 15 bytes.
+  /// Runs on the child's thread and restarts the child until it ends.
+  void RunUntilEnd(Child* child) {
+    is_child_thread = true;
+    // The thread name is visible in top, gdb and /proc; the kernel keeps 15
+    // bytes.
     pthread_setname_np(pthread_self(),
                        child->name.substr(0, kThreadNameBytes).c_str());
     while (true) {
       std::string failure = RunOnce(child);
-      const bool again = !failure.empty() && MayRestart();
-      Report(*child, failure, again);
-      if (!again) break;
+      const bool restart = !failure.empty() && CountRestart();
+      Report(*child, failure, restart);
+      if (!restart) break;
     }
     std::lock_guard<std::mutex> lock(mutex_);
-    child->over = true;
+    child->finished = true;
     changed_.notify_all();
   }
 
   std::string RunOnce(Child* child) {
     std::shared_ptr<Run> run;
-    std::string failure = Attempt([&] { run = child->make(); });
+    std::string failure = CatchFailure([&] { run = child->make(); });
     if (run == nullptr) return failure;
     {
       std::lock_guard<std::mutex> lock(mutex_);
@@ -216,7 +218,7 @@
     }
     failure = run->Execute([this, child] {
       std::lock_guard<std::mutex> lock(mutex_);
-      child->up = true;
+      child->started = true;
       changed_.notify_all();
     });
     std::lock_guard<std::mutex> lock(mutex_);
@@ -224,34 +226,34 @@
     return failure;
   }
 
-  bool MayRestart() {
+  bool CountRestart() {
     std::lock_guard<std::mutex> lock(mutex_);
     if (ending()) return false;
-    if (counter_.Take(Clock::now())) {
+    if (counter_.TryCount(Clock::now())) {
       ++restarts_;
       return true;
     }
-    gave_up_ = true;
+    limit_exceeded_ = true;
     changed_.notify_all();
     return false;
   }
 
-  void Report(const Child& child, const std::string& failure, bool again) {
+  void Report(const Child& child, const std::string& failure, bool restart) {
     if (!failure.empty()) {
       LOG(ERROR) << "task_failed supervisor=" << name_
-                 << " child=" << child.name << " restarted=" << again
+                 << " child=" << child.name << " restarted=" << restart
                  << " failure=\"" << failure << '"';
     }
     if (!listener_) return;
-    const std::string thrown = Attempt([&] {
-      listener_({child.name, failure, again});
+    const std::string thrown = CatchFailure([&] {
+      listener_({child.name, failure, restart});
     });
     LOG_IF(ERROR, !thrown.empty()) << "listener_failed supervisor=" << name_
                                    << " failure=\"" << thrown << '"';
   }
 
-  /// Ends the children one after the other, the last one first, so that each
-  /// still finds those it depends on.
+  /// Stops the children one by one in reverse order, so that each can use those
+  /// it depends on until it has stopped.
   void StopChildren() {
     std::lock_guard<std::mutex> stopping(stop_mutex_);
     for (auto child = children_.rbegin(); child != children_.rend(); ++child) {
@@ -261,7 +263,7 @@
         (*child)->ending = true;
         run = (*child)->run;
       }
-      if (run != nullptr) run->End();
+      if (run != nullptr) run->RequestEnd();
       if ((*child)->thread.joinable()) (*child)->thread.join();
     }
   }
@@ -275,7 +277,7 @@
   RestartCounter counter_;
   uint64_t restarts_ = 0;
   bool shutdown_ = false;
-  bool gave_up_ = false;
+  bool limit_exceeded_ = false;
 };
 
 Supervisor::Supervisor(std::string name, RestartLimit limit)
