--- a/src/include/ryefold/core/mirror/relay.h
+++ b/src/include/ryefold/core/mirror/relay.h
@@ -53,7 +53,7 @@
   void Asked(TimePoint now, RelayCall call, uint64_t after,
              TimePoint wait_until);
   /// Drops a call whose sender no longer waits.
-  void Gone(RelayCall call) { waiting_.erase(call); }
+  void Gone(RelayCall call) { pending_.erase(call); }
 
   /// Sets `Mirror::relay_state` and `Mirror::confirmed_at`.
   void SetState(RelayState state, TimePoint confirmed_at);
@@ -61,22 +61,22 @@
   void Changed();
   void Tick(TimePoint now);
   TimePoint next_deadline() const;
-  size_t waiting() const { return waiting_.size(); }
+  size_t waiting() const { return pending_.size(); }
 
  private:
-  struct Waiting {
+  struct PendingRequest {
     uint64_t after = 0;
     TimePoint until;
   };
   RelayAnswer AnswerFor(uint64_t after) const;
-  template <class Due>
-  void AnswerIf(const Due& due);
+  template <class Predicate>
+  void AnswerMatching(const Predicate& matches);
 
   const ChangeLog* log_;
   RelayPort* port_;
   RelayState state_ = RelayState::kNotCurrent;
   TimePoint confirmed_at_;
-  std::map<RelayCall, Waiting> waiting_;
+  std::map<RelayCall, PendingRequest> pending_;
 };
 
 }  // namespace ryefold::core::mirror
--- a/src/libcore/mirror/change_log.cc
+++ b/src/libcore/mirror/change_log.cc
@@ -51,8 +51,9 @@
 }
 
 void ChangeLog::RecordChange(const std::string& key, uint64_t at) {
-  const auto known = recorded_at_.find(key);
-  if (known != recorded_at_.end()) by_recorded_.erase({known->second, key});
+  const auto existing = recorded_at_.find(key);
+  if (existing != recorded_at_.end())
+    by_recorded_.erase({existing->second, key});
   recorded_at_[key] = at;
   by_recorded_.emplace(at, key);
 }
@@ -75,17 +76,17 @@
   as_of_ = std::max(as_of_, as_of);
   for (const Entry& change : changes) {
     const uint64_t at = change.revision > before ? change.revision : as_of_;
-    const auto known = entries_.find(change.key);
+    const auto existing = entries_.find(change.key);
     if (!change.deleted) {
-      if (known != entries_.end()) {
-        SaveVersion(known->second);
-        digest_ -= HashEntry(known->second);
+      if (existing != entries_.end()) {
+        SaveVersion(existing->second);
+        digest_ -= HashEntry(existing->second);
       }
       digest_ += HashEntry(change);
       entries_[change.key] = change;
       RecordChange(change.key, at);
-    } else if (known != entries_.end()) {
-      Remove(known, at);
+    } else if (existing != entries_.end()) {
+      Remove(existing, at);
     }
   }
   while (removed_.size() > kMaxRemovedKeys) {
--- a/src/libcore/mirror/mirror.cc
+++ b/src/libcore/mirror/mirror.cc
@@ -189,9 +189,9 @@
   }
   EntryMap changed;
   for (const auto& [key, entry] : listing) {
-    const auto known = log_.entries().find(key);
-    if (known == log_.entries().end() ||
-        known->second.revision != entry.revision) {
+    const auto existing = log_.entries().find(key);
+    if (existing == log_.entries().end() ||
+        existing->second.revision != entry.revision) {
       changed[key] = entry;
     }
   }
--- a/src/libcore/mirror/relay.cc
+++ b/src/libcore/mirror/relay.cc
@@ -26,17 +26,17 @@
     port_->AnswerRelayed(call, AnswerFor(after));
     return;
   }
-  waiting_[call] = {after, wait_until};
+  pending_[call] = {after, wait_until};
 }
 
-template <class Due>
-void Relay::AnswerIf(const Due& due) {
+template <class Predicate>
+void Relay::AnswerMatching(const Predicate& matches) {
   std::vector<std::pair<RelayCall, uint64_t>> answered;
-  for (const auto& [call, each] : waiting_) {
-    if (due(each)) answered.emplace_back(call, each.after);
+  for (const auto& [call, each] : pending_) {
+    if (matches(each)) answered.emplace_back(call, each.after);
   }
   for (const auto& [call, after] : answered) {
-    waiting_.erase(call);
+    pending_.erase(call);
     port_->AnswerRelayed(call, AnswerFor(after));
   }
 }
@@ -47,23 +47,25 @@
   // Calls stay pending while this instance catches up: if they were refused at
   // once, all callers would turn to the store while all relays list it.
   if (state == RelayState::kNotCurrent) {
-    AnswerIf([](const Waiting&) { return true; });
+    AnswerMatching([](const PendingRequest&) { return true; });
   }
 }
 
 void Relay::Changed() {
   if (state_ != RelayState::kCurrent) return;
   const uint64_t as_of = log_->as_of();
-  AnswerIf([as_of](const Waiting& each) { return each.after < as_of; });
+  AnswerMatching(
+      [as_of](const PendingRequest& each) { return each.after < as_of; });
 }
 
 void Relay::Tick(TimePoint now) {
-  AnswerIf([now](const Waiting& each) { return each.until <= now; });
+  AnswerMatching(
+      [now](const PendingRequest& each) { return each.until <= now; });
 }
 
 TimePoint Relay::next_deadline() const {
   TimePoint next = TimePoint::max();
-  for (const auto& [call, each] : waiting_) next = std::min(next, each.until);
+  for (const auto& [call, each] : pending_) next = std::min(next, each.until);
   return next;
 }
 
--- a/testsuite/mirror_fleet/fleet_test.cc
+++ b/testsuite/mirror_fleet/fleet_test.cc
@@ -1,5 +1,5 @@
-// Copies of the store's keys in a large fleet: who calls the store, how soon a
-// change is everywhere, and what happens when those that others hear from fail.
+// Mirrors in a fleet: load on the store, propagation time of changes, and
+// failures of relays and of the store.
 
 #include "testsuite/support/mirror/fleet.h"
 
@@ -11,9 +11,8 @@
 namespace ryefold::testsuite {
 namespace {
 
-/// The shortest time in which the users' large deployments have to act on a
-/// change of configuration.
-constexpr milliseconds kInForce{5000};
+/// Propagation bound of the strictest large deployment.
+constexpr milliseconds kPropagationBound{5000};
 
 std::string Configuration(int routes, int version) {
   std::string text = "{\"version\":" + std::to_string(version);
@@ -24,257 +23,254 @@
   return text + "}";
 }
 
-TEST(MirrorFleet, IsFollowedByEverybodyWhereFew) {
+TEST(MirrorFleet, FollowsTheStoreOnAllInstancesOfASmallFleet) {
   MirrorFleet fleet(8, 1);
   fleet.Start();
   fleet.store.Put("config", "one");
-  EXPECT_LT(fleet.TimeUntilLevel(kInForce).count(), 1100);
+  EXPECT_LT(fleet.TimeUntilConverged(kPropagationBound).count(), 1100);
   for (const auto& each : fleet.all) {
     EXPECT_TRUE(each->mirror().follows_store());
   }
 }
 
-TEST(MirrorFleet, CostsTheStoreFewCallsWhereMany) {
+TEST(MirrorFleet, SendsFewStoreCallsInALargeFleet) {
   MirrorFleet fleet(300, 1);
   fleet.Start();
   const uint64_t before = fleet.store.calls;
   fleet.RunFor(milliseconds(60000));
-  // 27 relays that ask every two seconds, and a listing each half a minute;
-  // 300 instances that follow the store would hold 300 calls all the time.
+  // 27 relays send a watch every two seconds and list every 30 s; without
+  // relays, 300 instances would keep 300 calls pending at all times.
   EXPECT_EQ(fleet.Relays().size(), 27U);
   EXPECT_LT(fleet.store.calls - before, 900U);
 }
 
-TEST(MirrorFleet, TellsEverybodyOfAChangeSoon) {
+TEST(MirrorFleet, PropagatesChangesToAllInstances) {
   MirrorFleet fleet(300, 1);
   fleet.Start();
   for (int i = 0; i < 5; ++i) {
     fleet.store.Put("config", std::to_string(i));
     fleet.store.Put("other-" + std::to_string(i), "value");
-    EXPECT_LT(fleet.TimeUntilLevel(kInForce).count(), 800) << i;
+    EXPECT_LT(fleet.TimeUntilConverged(kPropagationBound).count(), 800) << i;
   }
   fleet.store.Delete("other-2");
-  EXPECT_LT(fleet.TimeUntilLevel(kInForce).count(), 800);
+  EXPECT_LT(fleet.TimeUntilConverged(kPropagationBound).count(), 800);
 }
 
-// A configuration of a large fleet is a megabyte and changes every twenty
-// seconds by one route. Sent whole to each instance it takes 50 KB/s of every
-// link, and instances on slow links fall behind.
+// The configuration of a large fleet is a megabyte, and one route in it changes
+// every 20 s. Sent in full to each instance, it takes 50 KB/s of every link,
+// and instances on slow links fall behind.
 TEST(MirrorFleet, SendsDifferencesOfLargeValues) {
   MirrorFleet fleet(60, 1);
   fleet.store.Put("config", Configuration(5000, 1));
-  const size_t whole = fleet.store.keys().at("config").value.size();
+  const size_t full_size = fleet.store.keys().at("config").value.size();
   fleet.Start();
-  const uint64_t before = fleet.Bytes();
+  const uint64_t before = fleet.TotalBytes();
   std::string changed = fleet.store.keys().at("config").value;
   for (int i = 0; i < 5; ++i) {
     changed.replace(changed.size() / 2, 4, std::to_string(5000 + i));
     fleet.store.Put("config", changed);
-    EXPECT_LT(fleet.TimeUntilLevel(kInForce).count(), 800);
+    EXPECT_LT(fleet.TimeUntilConverged(kPropagationBound).count(), 800);
   }
-  const uint64_t each = (fleet.Bytes() - before) / 60 / 5;
-  EXPECT_GT(whole, 200000U);
+  const uint64_t each = (fleet.TotalBytes() - before) / 60 / 5;
+  EXPECT_GT(full_size, 200000U);
   EXPECT_LT(each, 700U);
 }
 
-// A relay's process is suspended by its host. Its connections stay open and its
-// kernel acknowledges what comes, so nothing shows but silence; instances that
-// hear from it would serve under an old configuration for as long as it sleeps.
-TEST(MirrorFleet, HearsFromAnotherWhileARelaySleeps) {
+// A suspended relay keeps its connections open and its kernel acknowledges
+// data, so only a timeout detects it. Without one, instances that use the relay
+// would serve a stale configuration until it resumes.
+TEST(MirrorFleet, SwitchesRelayWhileARelayIsSuspended) {
   MirrorFleet fleet(60, 1);
   fleet.Start();
   MirrorInstance* relay = fleet.Relays().front();
-  relay->Freeze(milliseconds(20000));
+  relay->Suspend(milliseconds(20000));
   fleet.store.Put("config", "new");
   fleet.RunFor(milliseconds(2600));
-  EXPECT_EQ(fleet.Behind(), 1U);  // the one that sleeps
+  EXPECT_EQ(fleet.CountStale(), 1U);  // the suspended relay
 }
 
-// A relay loses its way to the store without a sign: its watch is not answered
-// any more. Those that hear from it have the store in reach and are held to
-// the time in which a change has to be in force.
-TEST(MirrorFleet, HearsFromAnotherWhileARelayIsCutOffFromTheStore) {
+// The watch of a relay at the store is no longer answered. Instances that use
+// this relay can reach the store and must apply the change in time.
+TEST(MirrorFleet, SwitchesRelayWhileARelayIsCutOffFromTheStore) {
   MirrorFleet fleet(60, 1);
   fleet.Start();
   for (MirrorInstance* relay : fleet.Relays()) {
     if (fleet.DomainOf(relay->name()) != "domain-0") continue;
-    fleet.store.silent_to.insert(relay->name());
+    fleet.store.unresponsive_to.insert(relay->name());
   }
   fleet.store.Put("config", "new");
   fleet.RunFor(milliseconds(4000));
-  EXPECT_EQ(fleet.Behind(), 0U);
+  EXPECT_EQ(fleet.CountStale(), 0U);
 }
 
-// A network partition takes every relay of an instance away without a sign, and
-// leaves it the store. Each relay that is waited for in vain costs 1.7 s; tried
-// one after the other they cost more than the time in which a change has to be
-// in force.
-TEST(MirrorFleet, TurnsToTheStoreWhenItsRelaysFallSilent) {
+// A network partition cuts an instance off from all its relays but not from the
+// store. Each unreachable relay costs 1.7 s; trying them one after the other
+// exceeds the propagation bound.
+TEST(MirrorFleet, FollowsTheStoreWhenItsRelaysAreUnreachable) {
   for (int phase = 0; phase < 10; ++phase) {
     MirrorFleet fleet(60, 1);
     fleet.Start();
     fleet.RunFor(milliseconds(130 * phase));
     for (MirrorInstance* relay : fleet.Relays()) {
-      fleet.cut.insert({"instance-7", relay->name()});
+      fleet.blocked_links.insert({"instance-7", relay->name()});
     }
     ASSERT_FALSE(fleet.Find("instance-7")->mirror().follows_store());
     for (int i = 0; i < 6; ++i) {
       fleet.store.Put("config", std::to_string(i));
-      EXPECT_LT(fleet.TimeUntilLevel(milliseconds(8000)).count(), 3000)
+      EXPECT_LT(fleet.TimeUntilConverged(milliseconds(8000)).count(), 3000)
           << "phase " << phase << ", change " << i;
       fleet.RunFor(milliseconds(700));
     }
   }
 }
 
-// All instances that others hear from are killed at one moment.
+// All relays are killed at the same time.
 TEST(MirrorFleet, FollowsTheStoreWhenNoRelayIsLeft) {
   MirrorFleet fleet(60, 1);
   fleet.Start();
   for (MirrorInstance* relay : fleet.Relays()) relay->Kill();
   fleet.store.Put("config", "new");
-  EXPECT_LT(fleet.TimeUntilLevel(kInForce).count(), 2500);
+  EXPECT_LT(fleet.TimeUntilConverged(kPropagationBound).count(), 2500);
 }
 
-// The store turns one instance away and serves the others. What that instance
-// knows of databases and routes grows old, and its callers are sent to a
-// database that has left.
-TEST(MirrorFleet, ServesAnInstanceThatTheStoreTurnsAway) {
+// The store refused_instances the calls of one instance only. Without a relay
+// its copy becomes stale, and its callers are routed to a database that is
+// shutting down.
+TEST(MirrorFleet, UsesARelayWhenTheStoreRefusesAnInstance) {
   MirrorFleet fleet(8, 1);
   fleet.Start();
-  fleet.store.refuses.insert("instance-3");
+  fleet.store.refused_instances.insert("instance-3");
   fleet.store.Put("config", "one");
   fleet.RunFor(milliseconds(2500));
   fleet.store.Put("config", "two");
-  EXPECT_LT(fleet.TimeUntilLevel(kInForce).count(), 2000);
+  EXPECT_LT(fleet.TimeUntilConverged(kPropagationBound).count(), 2000);
   EXPECT_FALSE(fleet.Find("instance-3")->mirror().follows_store());
-  fleet.store.refuses.clear();
+  fleet.store.refused_instances.clear();
   fleet.RunFor(milliseconds(6000));
   EXPECT_TRUE(fleet.Find("instance-3")->mirror().follows_store());
 }
 
-// After an outage of the store the connections on which instances wait for its
-// changes are still open and carry nothing; the store answers new calls. A
-// database reports that it leaves, and instances that do not hear of it send it
-// work until it ends, seven seconds later.
-TEST(MirrorFleet, NoticesInTimeThatItsWatchesAreSilent) {
+// After a store outage, connections of pending watches stay open but carry
+// nothing, while new calls are answered. An instance that does not detect it
+// misses that a database is shutting down and routes requests to it until it
+// ends, 7 s later.
+TEST(MirrorFleet, DetectsDroppedWatchesInTime) {
   MirrorFleet fleet(8, 1);
   fleet.Start();
   fleet.RunFor(milliseconds(8000));
-  fleet.store.LoseWatches();
+  fleet.store.DropWatches();
   fleet.store.Put("database", "leaving");
-  EXPECT_LT(fleet.TimeUntilLevel(milliseconds(30000)).count(), 4000);
+  EXPECT_LT(fleet.TimeUntilConverged(milliseconds(30000)).count(), 4000);
 }
 
-// The store takes one instance's calls and never answers them. Each try at the
-// store is time in which the instance hears of nothing; changes have to be in
-// force within three seconds in a small fleet.
-TEST(MirrorFleet, HearsOfChangesWhileTheStoreKeepsItWaiting) {
+// The store accepts one instance's calls and never answers them. The instance
+// receives no changes during each attempt at the store, and a small fleet must
+// apply changes within three seconds.
+TEST(MirrorFleet, ReceivesChangesWhileTheStoreDoesNotAnswerIt) {
   MirrorFleet fleet(8, 1);
   fleet.Start();
-  fleet.store.silent_to.insert("instance-3");
+  fleet.store.unresponsive_to.insert("instance-3");
   fleet.store.Put("config", "first");
   fleet.RunFor(milliseconds(30000));
   for (int i = 0; i < 40; ++i) {
     fleet.store.Put("config", std::to_string(i));
-    EXPECT_LT(fleet.TimeUntilLevel(kInForce).count(), 2200) << i;
+    EXPECT_LT(fleet.TimeUntilConverged(kPropagationBound).count(), 2200) << i;
     fleet.RunFor(milliseconds(370));
   }
 }
 
-// The same while the instance has just begun: nobody is heard of yet, and the
-// first listing is not answered. The store answers again after a moment.
-TEST(MirrorFleet, TriesAgainSoonWhenItsFirstListingIsNotAnswered) {
+// The first listing of a newly started instance, which has no relays, is not
+// answered; the store recovers shortly after.
+TEST(MirrorFleet, RetriesSoonWhenItsFirstListingIsNotAnswered) {
   MirrorFleet fleet(1, 1);
   fleet.store.Put("config", "one");
-  fleet.store.silent_to.insert("instance-0");
-  fleet.TellMembers();
+  fleet.store.unresponsive_to.insert("instance-0");
+  fleet.UpdateMembers();
   fleet.all.front()->Start();
   fleet.RunFor(milliseconds(300));
-  fleet.store.silent_to.clear();
-  EXPECT_LT(fleet.TimeUntilLevel(kInForce).count(), 2000);
+  fleet.store.unresponsive_to.clear();
+  EXPECT_LT(fleet.TimeUntilConverged(kPropagationBound).count(), 2000);
 }
 
-// The store keeps all instances waiting for some seconds, and takes a change of
-// the configuration from an operator meanwhile. An instance that has asked for
-// a listing in that time would wait for it for four seconds, while the store is
-// there again and others have the change in force: its callers are told that
-// there is no such route.
-TEST(MirrorFleet, IsLevelSoonAfterTheStoreKeptAllWaiting) {
+// The store leaves all calls unanswered for some seconds and accepts a
+// configuration change in that time. An instance whose listing was sent during
+// the outage would wait four seconds for it, although the store has recovered
+// and others have applied the change, and would reject requests for the new
+// route.
+TEST(MirrorFleet, ConvergesSoonAfterTheStoreAnswersAgain) {
   for (int phase = 0; phase < 20; ++phase) {
     MirrorFleet fleet(8, 1);
     fleet.Start();
     for (const auto& each : fleet.all) {
-      fleet.store.silent_to.insert(each->name());
+      fleet.store.unresponsive_to.insert(each->name());
     }
     fleet.RunFor(milliseconds(1800 + 170 * phase));
     fleet.store.Put("config", "new");
-    fleet.store.silent_to.clear();
-    EXPECT_LT(fleet.TimeUntilLevel(milliseconds(8000)).count(), 2300)
+    fleet.store.unresponsive_to.clear();
+    EXPECT_LT(fleet.TimeUntilConverged(milliseconds(8000)).count(), 2300)
         << "phase " << phase;
   }
 }
 
-// A configuration has grown to a megabyte, and the slowest links carry ten
-// megabits a second: a change of it takes a second to arrive. An instance that
-// gave the answer up meanwhile would ask for it again and again, and serve by
-// the old configuration for good.
-TEST(MirrorFleet, TakesAChangeThatArrivesSlowly) {
+// A configuration of a megabyte takes a second over the slowest links of ten
+// megabits a second. An instance that aborted the answer would request it again
+// and again and never apply the change.
+TEST(MirrorFleet, AppliesAChangeThatArrivesSlowly) {
   for (int phase = 0; phase < 10; ++phase) {
     MirrorFleet fleet(1, 1);
     fleet.store.bytes_per_ms = 1250;
     fleet.Start();
     fleet.RunFor(milliseconds(250 * phase));
     fleet.store.Put("config", std::string(1400000, 'x'));
-    EXPECT_LT(fleet.TimeUntilLevel(milliseconds(20000)).count(), 3000)
+    EXPECT_LT(fleet.TimeUntilConverged(milliseconds(20000)).count(), 3000)
         << "phase " << phase;
   }
 }
 
-// The store is away for all. Instances that hear from relays must not all turn
-// to it at once, again and again: it would have to answer them first of all
-// when it comes back.
-TEST(MirrorFleet, KeepsFromPressingAStoreThatIsAway) {
+// During a store outage, instances that use relays must not all retry at the
+// store at the same time: it would have to answer these calls first when it
+// recovers.
+TEST(MirrorFleet, LimitsCallsToAStoreThatIsDown) {
   MirrorFleet fleet(120, 1);
   fleet.Start();
   fleet.store.down = true;
-  // Watches end as the store goes.
+  // Pending watches fail when the store does.
   fleet.store.Put("config", "while away");
   const uint64_t before = fleet.store.calls;
   fleet.RunFor(milliseconds(10000));
   EXPECT_LT(fleet.store.calls - before, 120U * 16);
   fleet.store.down = false;
-  EXPECT_LT(fleet.TimeUntilLevel(kInForce).count(), 2500);
+  EXPECT_LT(fleet.TimeUntilConverged(kPropagationBound).count(), 2500);
 }
 
-// A watch at the store misses a change, and the relay finds it half a minute
-// later when it reads everything anew. By then those that hear from it have
-// read beyond the change's revision and would never be told.
-TEST(MirrorFleet, PassesOnAChangeThatWasFoundLate) {
+// A watch misses a change, and the relay finds it 30 s later in its full read.
+// By then the instances that use the relay have read beyond the change's
+// revision, so a transfer of changes alone would never include it.
+TEST(MirrorFleet, RelaysAChangeThatWasFoundLate) {
   MirrorFleet fleet(60, 1);
   fleet.Start();
   fleet.store.skip_next_event = true;
   fleet.store.Put("missed", "value");
   fleet.store.Put("seen", "value");
   fleet.RunFor(milliseconds(1500));
-  EXPECT_EQ(fleet.Behind(), 60U);
+  EXPECT_EQ(fleet.CountStale(), 60U);
   fleet.RunFor(milliseconds(36000));
-  EXPECT_EQ(fleet.Behind(), 0U);
+  EXPECT_EQ(fleet.CountStale(), 0U);
 }
 
-// The store forgets its history; a key is removed in the gap.
-TEST(MirrorFleet, ReadsAnewWhenHistoryIsGone) {
+// The store compacts its history, and a key was removed in the compacted range.
+TEST(MirrorFleet, ListsAgainWhenHistoryIsCompacted) {
   MirrorFleet fleet(60, 1);
   fleet.store.Put("leaves", "value");
   fleet.Start();
   for (MirrorInstance* relay : fleet.Relays()) {
-    fleet.store.silent_to.insert(relay->name());
+    fleet.store.unresponsive_to.insert(relay->name());
   }
   fleet.store.Delete("leaves");
   fleet.store.Put("comes", "value");
   fleet.store.Compact();
-  fleet.store.silent_to.clear();
-  EXPECT_LT(fleet.TimeUntilLevel(kInForce).count(), 4500);
+  fleet.store.unresponsive_to.clear();
+  EXPECT_LT(fleet.TimeUntilConverged(kPropagationBound).count(), 4500);
 }
 
 }  // namespace
--- a/testsuite/mirror_fleet/mirror_test.cc
+++ b/testsuite/mirror_fleet/mirror_test.cc
@@ -1,4 +1,4 @@
-// One copy of the store by itself: what it says of itself to others.
+// A single mirror and relay: what they report to other instances.
 
 #include "ryefold/core/mirror/mirror.h"
 
@@ -11,8 +11,8 @@
 
 using std::chrono::milliseconds;
 
-/// Leaves every call open.
-class SilentPort : public MirrorPort {
+/// Leaves every call unanswered.
+class UnansweredPort : public MirrorPort {
  public:
   void ListStore(const std::string& /*after*/,
                  const AnswerLimits& /*limits*/) override {}
@@ -28,13 +28,12 @@
   return reading;
 }
 
-// The store tells an instance that the history it asks for is gone, and the
-// listing that must follow takes seconds on a slow link. The instance knows
-// that it may have missed changes. Others hear from it, and if it told them
-// that it was current they would serve by the old configuration, though another
-// could tell them of the new one.
-TEST(Mirror, IsNoSourceForOthersWhileItKnowsThatItHasMissedChanges) {
-  SilentPort port;
+// The store reports a compacted history, and the listing that follows takes
+// seconds on a slow link. If the instance reported meanwhile that its copy is
+// current, others would use it as a relay and serve a stale configuration,
+// although another relay has the new one.
+TEST(Mirror, IsNotCurrentAfterACompactedHistoryUntilListedAgain) {
+  UnansweredPort port;
   TimePoint now = TimePoint(std::chrono::hours(1));
   Mirror mirror(
       MirrorTiming(), /*first_start=*/false, 1, &port, nullptr,
@@ -50,12 +49,12 @@
   EXPECT_EQ(mirror.relay_state(), RelayState::kCurrent);
 }
 
-// A relay's copy differs from this one though both have read as far: one of
-// them has missed a change. Until everything has been asked for anew this copy
-// is not known to be current, and must not pass for as young as the relay's:
-// operators would look for the late change elsewhere.
+// A relay's copy differs at the same revision, so one of the two has missed a
+// change. Until all entries were requested again, this copy is not confirmed
+// and must not report the relay's age: operators would look for the late change
+// elsewhere.
 TEST(Mirror, IsNotConfirmedByARelayWhoseCopyDiffers) {
-  SilentPort port;
+  UnansweredPort port;
   TimePoint now = TimePoint(std::chrono::hours(1));
   Mirror mirror(
       MirrorTiming(), /*first_start=*/false, 1, &port, nullptr,
@@ -66,21 +65,20 @@
   mirror.SetPlan(plan);
   mirror.Start(now);
   mirror.Answered(now += milliseconds(4), ReadingUpTo(7));
-  // It has begun with the store and turns to its relay after a while.
+  // It starts with the store and switches to its relay later.
   mirror.Answered(now += milliseconds(2100), ReadingUpTo(7));
   ASSERT_EQ(mirror.relay(), "relay");
-  const TimePoint watched = mirror.confirmed_at();
+  const TimePoint confirmed_before = mirror.confirmed_at();
   Reading differs = ReadingUpTo(7);
   differs.digest = mirror.log().digest() + 1;
   mirror.Answered(now += milliseconds(1000), differs);
-  EXPECT_EQ(mirror.confirmed_at(), watched);
+  EXPECT_EQ(mirror.confirmed_at(), confirmed_before);
   Reading same = ReadingUpTo(7);
   same.digest = mirror.log().digest();
   mirror.Answered(now += milliseconds(1000), same);
-  EXPECT_GT(mirror.confirmed_at(), watched);
+  EXPECT_GT(mirror.confirmed_at(), confirmed_before);
 }
 
-/// Counts the answers and keeps the last.
 class CountingPort : public RelayPort {
  public:
   void AnswerRelayed(RelayCall /*call*/, const RelayAnswer& answer) override {
@@ -91,11 +89,10 @@
   RelayAnswer last;
 };
 
-// The same from the others' side: those that wait for news go on waiting for as
-// long as they have asked for, and are then told to ask elsewhere. Told at
-// once, a whole fleet would turn to the store in the moment that all relays
-// list it.
-TEST(Relay, LetsOthersWaitWhileItCatchesUp) {
+// Calls from other instances stay pending while this one catches up, and are
+// refused when their wait ends. If they were refused at once, the whole fleet
+// would turn to the store while all relays list it.
+TEST(Relay, KeepsCallsPendingWhileItCatchesUp) {
   ChangeLog log;
   CountingPort port;
   Relay relay(&log, &port);
--- a/testsuite/mirror_fleet/plan_test.cc
+++ b/testsuite/mirror_fleet/plan_test.cc
@@ -1,4 +1,4 @@
-// Who follows the store and who hears from whom.
+// Which instances follow the store and which relays the others read from.
 
 #include <gtest/gtest.h>
 
@@ -33,15 +33,15 @@
   }
 }
 
-// An instance whose own key is missing from the list has no place in the plan;
-// if it heard from others only, two such instances could hear from each other.
+// An instance that is missing from the list has no place in the plan; if it
+// used relays only, two such instances could use each other.
 TEST(RelayPlan, LetsAnInstanceThatIsNotListedFollowTheStore) {
   EXPECT_TRUE(PlanRelays({"newcomer", "domain-0"}, Members(100)).follows_store);
 }
 
 TEST(RelayPlan, SpreadsTheTargetFleetEvenly) {
   const std::vector<Member> members = Members(1100);
-  std::map<std::string, int> heard_by;
+  std::map<std::string, int> readers;
   size_t relays = 0;
   for (const Member& member : members) {
     const RelayPlan plan = PlanRelays(member, members);
@@ -51,17 +51,17 @@
       continue;
     }
     ASSERT_GE(plan.sources.size(), 4U);
-    ++heard_by[plan.sources.front()];
+    ++readers[plan.sources.front()];
   }
   EXPECT_EQ(relays, 95U);
   int most = 0;
-  for (const auto& [relay, count] : heard_by) most = std::max(most, count);
+  for (const auto& [relay, count] : readers) most = std::max(most, count);
   EXPECT_LE(most, 24);
 }
 
-// Every instance makes the plan for itself: the first sources of all have to
-// be instances that know themselves as relays.
-TEST(RelayPlan, IsTheSameByEverybodysReckoning) {
+// Every instance computes the plan for itself: the sources of each must be
+// instances that compute for themselves that they are relays.
+TEST(RelayPlan, IsComputedAlikeByAllInstances) {
   const std::vector<Member> members = Members(90);
   std::set<std::string> relays;
   for (const Member& member : members) {
--- a/testsuite/mirror_in_force/in_force_test.cc
+++ b/testsuite/mirror_in_force/in_force_test.cc
@@ -1,8 +1,8 @@
-// Changes of the configuration, one behind the other, beside a store that keeps
-// silent, is away, slow or forgets, and beside instances that are killed,
-// suspended and cut off from each other. Every living instance that nothing has
-// happened to lately must have each change in force in time, reckoned from its
-// acknowledgement and from the store's return.
+// Configuration changes during random faults: a store that is unresponsive,
+// down, slow or drops watches and history, and instances that are killed,
+// suspended or blocked_links off from each other. Every live instance without a
+// recent fault must apply each change within the bound, counted from the later
+// of the acknowledgement and the store's recovery.
 
 #include <gtest/gtest.h>
 
@@ -25,15 +25,16 @@
 constexpr milliseconds kRunTime{60000};
 constexpr const char* kConfig = "config";
 
-/// What the users allow a deployment.
+/// Propagation bounds of a deployment.
 struct Bounds {
-  /// From a change's acknowledgement until it is in force.
+  /// Time from a change's acknowledgement until it is in force.
   milliseconds in_force{0};
-  /// The store, and the instance itself, have to have been well for this long.
-  milliseconds calm{0};
+  /// The bound applies once the store and the instance have had no fault for
+  /// this long.
+  milliseconds settling_time{0};
 };
-constexpr Bounds kSmall{milliseconds(3000), milliseconds(4000)};
-constexpr Bounds kLarge{milliseconds(5000), milliseconds(5000)};
+constexpr Bounds kSmallFleet{milliseconds(3000), milliseconds(4000)};
+constexpr Bounds kLargeFleet{milliseconds(5000), milliseconds(5000)};
 
 class InForceRun {
  public:
@@ -47,14 +48,14 @@
     Acknowledge();
     fleet_.Start();
     start_ = Now();
-    for (const auto& each : fleet_.all) Disturbed(each->name(), Now());
-    NextFault();
-    NextChange();
-    while (Now() < start_ + kRunTime && late_.empty()) {
+    for (const auto& each : fleet_.all) RecordFault(each->name(), Now());
+    ScheduleFault();
+    ScheduleChange();
+    while (Now() < start_ + kRunTime && violation_.empty()) {
       fleet_.RunFor(kStep);
-      Judge();
+      CheckInstances();
     }
-    EXPECT_EQ(late_, "") << story_ << LogTail();
+    EXPECT_EQ(violation_, "") << trace_ << LogTail();
   }
 
  private:
@@ -65,9 +66,9 @@
     return milliseconds(Pick(least, most));
   }
   TimePoint Now() const { return fleet_.clock.now(); }
-  void Tell(const std::string& what) {
+  void Trace(const std::string& what) {
     const auto at = std::chrono::duration_cast<milliseconds>(Now() - start_);
-    story_ += std::to_string(at.count()) + " ms " + what + "\n";
+    trace_ += std::to_string(at.count()) + " ms " + what + "\n";
   }
   std::string LogTail() const {
     std::string tail = "start at " +
@@ -75,72 +76,72 @@
                                           start_.time_since_epoch())
                                           .count()) +
                        "\n";
-    for (const std::string& line : fleet_.lines) tail += line + "\n";
+    for (const std::string& line : fleet_.log_lines) tail += line + "\n";
     return tail;
   }
-  std::string Someone() {
-    std::vector<std::string> living;
+  std::string RandomLiveInstance() {
+    std::vector<std::string> live;
     for (const auto& each : fleet_.all) {
-      if (!each->killed()) living.push_back(each->name());
+      if (!each->killed()) live.push_back(each->name());
     }
-    return living[Pick(0, living.size() - 1)];
+    return live[Pick(0, live.size() - 1)];
   }
 
-  /// An operator's change is taken while the store is well; what has piled up
-  /// comes at once when it is back.
-  void NextChange() {
+  /// Operators' changes are written while the store is healthy; those made
+  /// during an outage are written together when it recovers.
+  void ScheduleChange() {
     fleet_.clock.After(Span(50, 2500), [this] {
-      pending_ += Pick(1, 4);
-      if (StoreTakesChanges()) {
+      changes_made_ += Pick(1, 4);
+      if (IsStoreWritable()) {
         Acknowledge();
-      } else if (!waiting_) {
-        waiting_ = true;
-        AwaitStore();
+      } else if (!is_polling_store_) {
+        is_polling_store_ = true;
+        PollStore();
       }
-      NextChange();
+      ScheduleChange();
     });
   }
-  void AwaitStore() {
+  void PollStore() {
     fleet_.clock.After(Span(10, 300), [this] {
-      if (!StoreTakesChanges()) {
-        AwaitStore();
+      if (!IsStoreWritable()) {
+        PollStore();
         return;
       }
-      waiting_ = false;
+      is_polling_store_ = false;
       Acknowledge();
     });
   }
-  bool StoreTakesChanges() const {
-    return !fleet_.store.silent && !fleet_.store.down;
+  bool IsStoreWritable() const {
+    return !fleet_.store.unresponsive && !fleet_.store.down;
   }
   void Acknowledge() {
-    fleet_.store.Put(kConfig, std::to_string(pending_));
+    fleet_.store.Put(kConfig, std::to_string(changes_made_));
     acknowledged_.emplace_back(Now(), fleet_.store.keys().at(kConfig).revision);
   }
 
-  void NextFault() {
+  void ScheduleFault() {
     fleet_.clock.After(Span(100, 6000), [this] {
-      Fault();
-      NextFault();
+      InjectFault();
+      ScheduleFault();
     });
   }
 
-  /// Runs `begin` now and `end` after `span`, with the store unwell meanwhile.
+  /// Records a store fault, and runs `end` when it ends after `span`.
   template <class End>
   void StoreFault(const std::string& what, milliseconds span, const End& end) {
-    Tell("store " + what + " for " + std::to_string(span.count()));
-    store_well_at_ = std::max(store_well_at_, Now() + span);
+    Trace("store " + what + " for " + std::to_string(span.count()));
+    store_healthy_at_ = std::max(store_healthy_at_, Now() + span);
     fleet_.clock.After(span, end);
   }
 
-  void Fault() {
+  void InjectFault() {
     FakeStoreKeys& store = fleet_.store;
     switch (Pick(0, 10)) {
       case 0:
       case 1:
-        store.silent = true;
-        StoreFault("silent", Span(200, 9000),
-                   [&store] { store.silent = false; });
+        store.unresponsive = true;
+        StoreFault("unresponsive", Span(200, 9000),
+                   [&store] { store.unresponsive = false; });
         break;
       case 2:
         store.down = true;
@@ -152,87 +153,88 @@
                    [&store] { store.delay = milliseconds(4); });
         break;
       case 4:
-        store.LoseWatches();
-        StoreFault("has forgotten watches", milliseconds(0), [] {});
+        store.DropWatches();
+        StoreFault("drops watches", milliseconds(0), [] {});
         break;
       case 5:
         store.Compact();
-        store.LoseWatches();
-        StoreFault("has dropped its history", milliseconds(0), [] {});
+        store.DropWatches();
+        StoreFault("compacts its history", milliseconds(0), [] {});
         break;
       case 6:
-        KeepWaiting();
+        StallInstance();
         break;
       case 7:
-        Restart();
+        RestartInstances();
         break;
       case 8:
-        Freeze();
+        SuspendInstance();
         break;
       default:
-        Cut();
+        BlockLink();
         break;
     }
   }
 
-  void KeepWaiting() {
-    const std::string name = Someone();
+  void StallInstance() {
+    const std::string name = RandomLiveInstance();
     const milliseconds span = Span(500, 9000);
-    fleet_.store.silent_to.insert(name);
-    Disturbed(name, Now() + span);
-    Tell("store silent to " + name + " for " + std::to_string(span.count()));
-    fleet_.clock.After(span,
-                       [this, name] { fleet_.store.silent_to.erase(name); });
+    fleet_.store.unresponsive_to.insert(name);
+    RecordFault(name, Now() + span);
+    Trace("store unresponsive to " + name + " for " +
+          std::to_string(span.count()));
+    fleet_.clock.After(
+        span, [this, name] { fleet_.store.unresponsive_to.erase(name); });
   }
 
-  /// Some are killed and others started in their places a moment later.
-  void Restart() {
+  /// Kills instances and starts replacements a moment later.
+  void RestartInstances() {
     const uint64_t count = Pick(1, std::max<uint64_t>(1, instances_ * 2 / 3));
     for (uint64_t i = 0; i < count; ++i) {
-      if (fleet_.Living() <= 1) return;
-      MirrorInstance* instance = fleet_.Find(Someone());
-      Tell("kills " + instance->name());
+      if (fleet_.CountLive() <= 1) return;
+      MirrorInstance* instance = fleet_.Find(RandomLiveInstance());
+      Trace("kills " + instance->name());
       instance->Kill();
       fleet_.clock.After(Span(300, 1200), [this] {
         const std::string name = "started-" + std::to_string(fleet_.all.size());
         fleet_.Add(name);
-        fleet_.TellMembers();
-        Disturbed(name, Now());
-        Tell("starts " + name);
+        fleet_.UpdateMembers();
+        RecordFault(name, Now());
+        Trace("starts " + name);
         fleet_.all.back()->Start();
       });
     }
   }
 
-  void Freeze() {
-    const std::string name = Someone();
+  void SuspendInstance() {
+    const std::string name = RandomLiveInstance();
     const milliseconds span = Span(300, 6000);
-    fleet_.Find(name)->Freeze(span);
-    Disturbed(name, Now() + span);
-    Tell("freezes " + name + " for " + std::to_string(span.count()));
+    fleet_.Find(name)->Suspend(span);
+    RecordFault(name, Now() + span);
+    Trace("suspends " + name + " for " + std::to_string(span.count()));
   }
 
-  /// Nothing passes between two instances.
-  void Cut() {
-    const std::string one = Someone();
-    const std::string other = Someone();
+  /// Blocks the link between two instances.
+  void BlockLink() {
+    const std::string one = RandomLiveInstance();
+    const std::string other = RandomLiveInstance();
     const milliseconds span = Span(500, 9000);
-    fleet_.cut.insert({one, other});
-    Disturbed(one, Now() + span);
-    Disturbed(other, Now() + span);
-    Tell("cuts " + one + " from " + other + " for " +
-         std::to_string(span.count()));
+    fleet_.blocked_links.insert({one, other});
+    RecordFault(one, Now() + span);
+    RecordFault(other, Now() + span);
+    Trace("blocks link from " + one + " to " + other + " for " +
+          std::to_string(span.count()));
     fleet_.clock.After(span, [this, one, other] {
-      fleet_.cut.erase({one, other});
+      fleet_.blocked_links.erase({one, other});
     });
   }
 
-  void Disturbed(const std::string& name, TimePoint until) {
-    calm_from_[name] = std::max(calm_from_[name], until);
+  void RecordFault(const std::string& name, TimePoint until) {
+    fault_ends_[name] = std::max(fault_ends_[name], until);
   }
 
-  /// The newest revision that had been acknowledged before `when`.
-  uint64_t AcknowledgedBefore(TimePoint when) const {
+  /// Returns the newest revision that had been acknowledged before `when`.
+  uint64_t NewestRevisionBefore(TimePoint when) const {
     uint64_t newest = 0;
     for (const auto& [at, revision] : acknowledged_) {
       if (at < when) newest = revision;
@@ -240,15 +242,16 @@
     return newest;
   }
 
-  void Judge() {
+  void CheckInstances() {
     for (const auto& each : fleet_.all) {
       if (each->killed()) continue;
-      // What an instance says of its copy's age holds in any weather.
-      Require(*each, AcknowledgedBefore(each->mirror().confirmed_at()),
+      // The reported age of a copy must be right during faults too.
+      Require(*each, NewestRevisionBefore(each->mirror().confirmed_at()),
               "claims");
-      const TimePoint calm = std::max(store_well_at_, calm_from_[each->name()]);
-      if (Now() < calm + bounds_.calm) continue;
-      Require(*each, AcknowledgedBefore(Now() - bounds_.in_force), "needs");
+      const TimePoint last_fault_end =
+          std::max(store_healthy_at_, fault_ends_[each->name()]);
+      if (Now() < last_fault_end + bounds_.settling_time) continue;
+      Require(*each, NewestRevisionBefore(Now() - bounds_.in_force), "needs");
     }
   }
   void Require(const MirrorInstance& instance, uint64_t revision,
@@ -257,9 +260,9 @@
     const uint64_t held =
         found == instance.entries().end() ? 0 : found->second.revision;
     if (held >= revision) return;
-    late_ = instance.name() + " " + verb + " " + std::to_string(revision) +
-            " and holds " + std::to_string(held);
-    Tell(late_);
+    violation_ = instance.name() + " " + verb + " " + std::to_string(revision) +
+                 " and holds " + std::to_string(held);
+    Trace(violation_);
   }
 
   std::mt19937_64 random_;
@@ -267,19 +270,19 @@
   const uint64_t instances_;
   MirrorFleet fleet_;
   TimePoint start_;
-  uint64_t pending_ = 0;
-  bool waiting_ = false;
-  /// Acknowledged changes, by when and as which revision.
+  uint64_t changes_made_ = 0;
+  bool is_polling_store_ = false;
+  /// Times and revisions of acknowledged changes.
   std::vector<std::pair<TimePoint, uint64_t>> acknowledged_;
-  TimePoint store_well_at_;
-  /// Until when something was wrong with an instance, its links or its way to
-  /// the store.
-  std::map<std::string, TimePoint> calm_from_;
-  std::string story_ = "\n";
-  std::string late_;
+  TimePoint store_healthy_at_;
+  /// End of the last fault of each instance, its links or its path to the
+  /// store.
+  std::map<std::string, TimePoint> fault_ends_;
+  std::string trace_ = "\n";
+  std::string violation_;
 };
 
-void PlaySeeds(Bounds bounds, uint64_t least, uint64_t most, uint64_t seeds) {
+void RunSeeds(Bounds bounds, uint64_t least, uint64_t most, uint64_t seeds) {
   const uint64_t first = FromEnvironment("RYEFOLD_SEED", kFirstSeed);
   const uint64_t last = first + FromEnvironment("RYEFOLD_RUNS", seeds);
   for (uint64_t seed = first; seed < last; ++seed) {
@@ -289,49 +292,47 @@
   }
 }
 
-// The store takes calls and answers none of them for some seconds. Instances
-// that are started meanwhile have never listed it and wait for a listing that
-// nobody answers, twice as long with each try. The store is back and operators'
-// changes are confirmed, but these instances wait on: callers that are sent to
-// them are turned away, for up to six seconds. Instances that have listed
-// before and list anew wait as long, and their callers are told that a new
-// route does not exist. The cause is a call that outlives the silence in which
-// it was sent; an instance's own lines show it: nothing between `store_lost`
-// and `config_in_force`, which comes when the wait for the listing is over, and
-// not when the store is back.
-TEST(MirrorInForce, AnInstanceStartedBesideASilentStoreIsReadySoonAfterIt) {
+// The store accepts calls and answers none for some seconds. An instance
+// started in that time waits for its first listing; with a wait that doubles
+// with each attempt, the call outlasts the outage, and callers are refused for
+// up to 6 s after the store has recovered. Instances that list again wait as
+// long, and reject requests for a new route. The instance's log then has no
+// line between `store_lost` and `config_in_force`, which comes when the wait
+// ends.
+TEST(MirrorInForce, AnInstanceStartedDuringAStoreOutageIsReadySoonAfterIt) {
   for (int phase = 0; phase < 40; ++phase) {
     MirrorFleet fleet(8, 1);
     fleet.Start();
-    fleet.store.silent = true;
+    fleet.store.unresponsive = true;
     fleet.RunFor(milliseconds(3000));
     fleet.Add("started");
-    fleet.TellMembers();
+    fleet.UpdateMembers();
     fleet.all.back()->Start();
     fleet.RunFor(milliseconds(100 + 200 * phase));
-    fleet.store.silent = false;
+    fleet.store.unresponsive = false;
     fleet.store.Put(kConfig, "new");
-    EXPECT_LT(fleet.TimeUntilLevel(milliseconds(8000)), kSmall.in_force)
+    EXPECT_LT(fleet.TimeUntilConverged(milliseconds(8000)),
+              kSmallFleet.in_force)
         << "phase " << phase;
   }
 }
 
 TEST(MirrorInForce, ChangesAreInForceInTimeOnAFewInstances) {
-  PlaySeeds(kSmall, 3, 12, kSeeds);
+  RunSeeds(kSmallFleet, 3, 12, kSeeds);
 }
 
-// The store forgets its watches. An instance whose watch is given up listens to
-// another that says in good faith that it follows the store, while its own
-// watch hangs as well. It rests on that for seconds, with the store in reach,
-// and its callers are served by a configuration that is no longer in force.
+// The store drops its watches. An instance whose own watch timed out uses a
+// relay that still reports that it follows the store while the relay's watch
+// hangs too. Relying on it for seconds would serve a stale configuration
+// although the store is reachable.
 TEST(MirrorInForce, ARelayThatIsItselfBehindIsNotReliedOn) {
   for (const uint64_t seed : {20262826}) {
-    InForceRun(seed, kSmall, 3, 12).Run();
+    InForceRun(seed, kSmallFleet, 3, 12).Run();
   }
 }
 
 TEST(MirrorInForce, ChangesAreInForceInTimeBehindRelays) {
-  PlaySeeds(kLarge, 17, 60, kSeeds / 5);
+  RunSeeds(kLargeFleet, 17, 60, kSeeds / 5);
 }
 
 }  // namespace
--- a/testsuite/settings_catalog/catalog_test.cc
+++ b/testsuite/settings_catalog/catalog_test.cc
@@ -46,7 +46,7 @@
   EXPECT_FALSE(SameKey(gates.key_hash, HashKey(gates.key_salt, "Secret")));
 }
 
-TEST(Catalog, ReferencesMayStandInWhatIsPublished) {
+TEST(Catalog, ReferencesMayBeToPublishedDocuments) {
   const std::string file =
       R"({"workspaces": {"gates": )" + Workspace("") + "}}";
   wire::Findings findings;
@@ -83,10 +83,10 @@
   EXPECT_NE(findings[0].problem.find("exceeds"), std::string::npos);
 }
 
-// An operator replaces a database in one step. Instances that have not heard of
-// it yet count a majority of the old three, the others one of the new three,
-// and the two need share no database: a write that was told done could be lost
-// by a promotion.
+// An operator replaces a database in one step. Instances with the old list
+// count a majority of the old three databases, the others one of the new three,
+// and the two need not share a database: a promotion could lose an acknowledged
+// write.
 TEST(Catalog, DatabasesOfAGroupChangeOneAtATime) {
   const Documents base = {{"group/cards", R"({"databases":["a","b","c"]})"}};
   const auto findings_of = [&base](const std::string& databases) {
@@ -104,9 +104,8 @@
   EXPECT_EQ(findings_of(R"(["a", "b", "c", "d", "e"])").size(), 1U);
 }
 
-// Somebody deletes a template that a workspace still uses, in a change that
-// raced with the workspace's own. Only that workspace may be affected; callers
-// of all others notice nothing.
+// A template is deleted concurrently with a new workspace that uses it. Only
+// that workspace may be affected.
 TEST(Catalog, OneBrokenDocumentLeavesTheOthersInForce) {
   wire::Findings findings;
   Documents documents =
--- a/testsuite/settings_instance/instance_test.cc
+++ b/testsuite/settings_instance/instance_test.cc
@@ -10,8 +10,8 @@
 namespace ryefold::settings {
 namespace {
 
-constexpr const char* kWhole = R"({
-  // who
+constexpr const char* kCompleteSettings = R"({
+  // comment
   "name": "entry-1", "failure_domain": "leuven", "region": "belgium",
   "caller_address": "127.0.0.1:6400", "peer_address": "127.0.0.1:6401",
   "platform": ["127.0.0.1:7000"], "admin_key": "long enough"
@@ -26,7 +26,7 @@
 TEST(InstanceSettings, ReadsCommentsAndKeepsDefaults) {
   wire::Findings findings;
   const InstanceSettings settings =
-      ParseInstanceSettings("a.json", kWhole, &findings);
+      ParseInstanceSettings("a.json", kCompleteSettings, &findings);
   EXPECT_TRUE(findings.empty()) << wire::ToJson(findings);
   EXPECT_EQ(settings.name, "entry-1");
   EXPECT_EQ(settings.platform.size(), 1U);
@@ -34,7 +34,7 @@
   EXPECT_EQ(settings.keeper.lost_after, core::group::KeeperTiming{}.lost_after);
 }
 
-TEST(InstanceSettings, TellsEverythingWrongAtOnceWithItsPlace) {
+TEST(InstanceSettings, ReportsAllProblemsAtOnceWithTheirPlaces) {
   wire::Findings findings;
   ParseInstanceSettings("a.json", R"({
   "name": "has blanks", "failure_domain": "", "region": 7,
@@ -66,8 +66,8 @@
   EXPECT_FALSE(IsAddress("1.2.3.4:8a"));
 }
 
-// A setting that the page does not name is one that nobody will find; the
-// page is read here, so it cannot fall behind.
+// Operators find settings through the documentation page. This test reads the
+// page, so that it stays complete.
 TEST(InstanceSettings, ThePageNamesEverySetting) {
   std::ifstream file("docs/SETTINGS.md");
   std::stringstream text;
--- a/testsuite/support/mirror/fake_store_keys.h
+++ b/testsuite/support/mirror/fake_store_keys.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The platform's store in virtual time, as copies of it are kept from: keys
-// with revisions, a history and watches, and faults to order.
+// A simulated key-value store in virtual time with revisions, a history,
+// watches and fault injection.
 
 #include <algorithm>
 #include <cstdint>
@@ -25,21 +25,21 @@
 using core::mirror::Reading;
 using core::mirror::ReadResult;
 
-/// Keys with revisions, a history, and watches.
 class FakeStoreKeys {
  public:
   explicit FakeStoreKeys(VirtualClock* clock) : clock_(clock) {}
 
   milliseconds delay{4};
-  /// What a link carries in a millisecond; 0: any amount.
+  /// Bandwidth of each link in bytes per millisecond; 0: unlimited.
   uint64_t bytes_per_ms = 0;
   bool down = false;
-  /// Takes calls and answers none of them, those that wait neither.
-  bool silent = false;
-  /// Instances that get no answer, and those that are told to go away.
-  std::set<std::string> silent_to;
-  std::set<std::string> refuses;
-  /// The next change is not told to watches.
+  /// Accepts calls and answers none of them, including pending watches.
+  bool unresponsive = false;
+  /// Instances whose calls get no answer, and instances whose calls are
+  /// refused.
+  std::set<std::string> unresponsive_to;
+  std::set<std::string> refused_instances;
+  /// Watches do not receive the next change.
   bool skip_next_event = false;
   uint64_t calls = 0;
 
@@ -49,7 +49,7 @@
     entry.value = value;
     entry.revision = ++revision_;
     if (entry.created == 0) entry.created = revision_;
-    Changed(entry);
+    NotifyWatches(entry);
   }
   void Delete(const std::string& key) {
     const auto found = keys_.find(key);
@@ -58,28 +58,29 @@
     keys_.erase(found);
     entry.deleted = true;
     entry.revision = ++revision_;
-    Changed(entry);
+    NotifyWatches(entry);
   }
-  /// Connections on which watches wait fall silent; new calls are answered.
-  void LoseWatches() {
+  /// Drops watch_ids pending watches without an answer; new calls are answered.
+  void DropWatches() {
     for (const auto& entry : watches_) {
       const Waiting watch = entry.second;
-      clock_->At(watch.given_up,
+      clock_->At(watch.timeout_at,
                  [watch] { watch.done(ReadError::kUnreachable); });
     }
     watches_.clear();
   }
-  /// Watches from before now on are told that their history is gone.
+  /// Discards the history: watches from earlier revisions fail with a compacted
+  /// history.
   void Compact() { history_from_ = revision_; }
 
   void List(const std::string& instance, const std::string& after,
             const AnswerLimits& limits,
             const std::function<void(const ReadResult&)>& done) {
-    if (!Reached(instance, limits, done)) return;
+    if (!AcceptCall(instance, limits, done)) return;
     Reading page;
     page.as_of = revision_;
     for (auto it = keys_.upper_bound(after); it != keys_.end(); ++it) {
-      if (page.entries.size() == kPage) {
+      if (page.entries.size() == kEntriesPerPage) {
         page.more = true;
         break;
       }
@@ -91,33 +92,34 @@
   void Watch(const std::string& instance, uint64_t after, milliseconds wait,
              const AnswerLimits& limits,
              const std::function<void(const ReadResult&)>& done) {
-    if (!Reached(instance, limits, done)) return;
+    if (!AcceptCall(instance, limits, done)) return;
     if (after < history_from_) {
       clock_->After(delay, [done] { done(ReadError::kHistoryGone); });
       return;
     }
-    const uint64_t number = ++last_watch_;
-    watches_[number] = {instance, after, done, GivenUp(limits),
+    const uint64_t number = ++last_watch_id_;
+    watches_[number] = {instance, after, done, TimeoutAt(limits),
                         limits.deadline};
-    clock_->After(wait, [this, number] { Answer(number); });
-    if (after < revision_) Answer(number);
+    clock_->After(wait, [this, number] { AnswerWatch(number); });
+    if (after < revision_) AnswerWatch(number);
   }
 
   const EntryMap& keys() const { return keys_; }
   uint64_t revision() const { return revision_; }
 
  private:
-  static constexpr size_t kPage = 50;
+  static constexpr size_t kEntriesPerPage = 50;
   struct Waiting {
     std::string instance;
     uint64_t after = 0;
     std::function<void(const ReadResult&)> done;
-    /// When it is given up if nothing comes, and in any case.
-    TimePoint given_up;
+    /// When the caller's idle timeout expires, and when its deadline does.
+    TimePoint timeout_at;
     TimePoint deadline;
   };
 
-  /// An answer arrives over the link, unless that takes too long.
+  /// Delivers an answer after its transfer time, or an error at the deadline if
+  /// that is earlier.
   void Send(const Reading& reading, TimePoint deadline,
             const std::function<void(const ReadResult&)>& done) {
     uint64_t bytes = 0;
@@ -131,45 +133,46 @@
     }
   }
 
-  bool SilentTo(const std::string& instance) const {
-    return silent || silent_to.count(instance) > 0;
+  bool IsUnresponsiveTo(const std::string& instance) const {
+    return unresponsive || unresponsive_to.count(instance) > 0;
   }
 
-  /// When a call that gets no answer is given up.
-  TimePoint GivenUp(const AnswerLimits& limits) const {
+  /// Returns when a call without an answer times out.
+  TimePoint TimeoutAt(const AnswerLimits& limits) const {
     return std::min(limits.deadline, clock_->now() + limits.silence);
   }
 
-  bool Reached(const std::string& instance, const AnswerLimits& limits,
-               const std::function<void(const ReadResult&)>& done) {
+  bool AcceptCall(const std::string& instance, const AnswerLimits& limits,
+                  const std::function<void(const ReadResult&)>& done) {
     ++calls;
-    if (SilentTo(instance) || delay > limits.silence) {
-      clock_->At(GivenUp(limits), [done] { done(ReadError::kUnreachable); });
+    if (IsUnresponsiveTo(instance) || delay > limits.silence) {
+      clock_->At(TimeoutAt(limits), [done] { done(ReadError::kUnreachable); });
       return false;
     }
-    if (down || refuses.count(instance) > 0) {
+    if (down || refused_instances.count(instance) > 0) {
       clock_->After(delay, [done] { done(ReadError::kUnreachable); });
       return false;
     }
     return true;
   }
 
-  void Changed(const Entry& entry) {
+  void NotifyWatches(const Entry& entry) {
     if (std::exchange(skip_next_event, false)) return;
     history_.push_back(entry);
-    std::vector<uint64_t> all;
-    for (const auto& [number, watch] : watches_) all.push_back(number);
-    for (const uint64_t number : all) Answer(number);
+    std::vector<uint64_t> watch_ids;
+    for (const auto& [number, watch] : watches_) watch_ids.push_back(number);
+    for (const uint64_t number : watch_ids) AnswerWatch(number);
   }
 
-  void Answer(uint64_t number) {
+  void AnswerWatch(uint64_t number) {
     const auto found = watches_.find(number);
     if (found == watches_.end()) return;
     const Waiting watch = found->second;
     watches_.erase(found);
-    const bool cut = SilentTo(watch.instance);
-    if (cut || down) {
-      const TimePoint when = cut ? watch.given_up : clock_->now() + delay;
+    const bool times_out = IsUnresponsiveTo(watch.instance);
+    if (times_out || down) {
+      const TimePoint when =
+          times_out ? watch.timeout_at : clock_->now() + delay;
       clock_->At(when, [watch] { watch.done(ReadError::kUnreachable); });
       return;
     }
@@ -186,7 +189,7 @@
   std::vector<Entry> history_;
   uint64_t revision_ = 1;
   uint64_t history_from_ = 0;
-  uint64_t last_watch_ = 0;
+  uint64_t last_watch_id_ = 0;
   std::map<uint64_t, Waiting> watches_;
 };
 
--- a/testsuite/support/mirror/fleet.h
+++ b/testsuite/support/mirror/fleet.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// Instances that keep copies of one store in virtual time, over links and a
-// store with faults to order. What goes between instances takes its wire form.
+// Simulated instances that mirror one store in virtual time, over links and a
+// store with fault injection. Messages between instances are encoded and
+// decoded by the wire codec.
 
 #include <algorithm>
 #include <deque>
@@ -23,10 +24,11 @@
 
 class MirrorFleet;
 
-/// Keeps what instances log, with time and name, for the story of a failure.
-class StoryLog : public core::EventSink {
+/// Collects the log log_lines of an instance, with time and instance name, for
+/// failure messages.
+class RecordingLog : public core::EventSink {
  public:
-  StoryLog(MirrorFleet* fleet, std::string name)
+  RecordingLog(MirrorFleet* fleet, std::string name)
       : fleet_(fleet), name_(std::move(name)) {}
   bool Wants(core::EventWeight /*weight*/) override { return true; }
   void Write(core::EventWeight weight, std::string_view line) override;
@@ -36,7 +38,8 @@
   const std::string name_;
 };
 
-/// One process. Killed ones stay until the end, deaf and mute.
+/// One process. A killed instance stays allocated, and neither sends nor
+/// receives.
 class MirrorInstance : public core::mirror::MirrorPort,
                        public core::mirror::RelayPort {
  public:
@@ -44,15 +47,15 @@
 
   void Start();
   void SetMembers(const std::vector<core::mirror::Member>& members);
-  void Freeze(milliseconds span) { frozen_until_ = Now() + span; }
+  void Suspend(milliseconds span) { suspended_until_ = Now() + span; }
   void Kill() { killed_ = true; }
   bool killed() const { return killed_; }
 
   const EntryMap& entries() const { return mirror_.log().entries(); }
   const core::mirror::Mirror& mirror() const { return mirror_; }
   const std::string& name() const { return name_; }
-  /// Bytes that this instance has received from others.
-  uint64_t bytes = 0;
+  /// TotalBytes that this instance has received from others.
+  uint64_t bytes_received = 0;
 
   void ListStore(const std::string& after, const AnswerLimits& limits) override;
   void WatchStore(uint64_t after, milliseconds wait,
@@ -62,10 +65,10 @@
   void AnswerRelayed(core::mirror::RelayCall call,
                      const core::mirror::RelayAnswer& answer) override;
 
-  /// Another instance asks; `done` gets the body.
-  void Asked(const std::string& question,
-             const std::function<void(const std::string&)>& done);
-  /// Runs when the process is awake; never when it was killed.
+  /// Handles a question of another instance; `done` receives the answer's body.
+  void HandleQuestion(const std::string& question,
+                      const std::function<void(const std::string&)>& done);
+  /// Runs `work` once the process is not suspended; never if it was killed.
   void Deliver(const std::function<void()>& work);
 
  private:
@@ -76,39 +79,41 @@
 
   MirrorFleet* fleet_;
   const std::string name_;
-  StoryLog log_;
+  RecordingLog log_;
   bool killed_ = false;
-  TimePoint frozen_until_;
+  TimePoint suspended_until_;
   core::mirror::Mirror mirror_;
   core::mirror::Relay relay_;
   core::mirror::RelayCall last_call_ = 0;
   std::map<core::mirror::RelayCall, std::function<void(const std::string&)>>
       calls_;
-  uint64_t newest_seen_ = 0;
+  uint64_t max_as_of_ = 0;
 };
 
 class MirrorFleet {
  public:
-  /// Instances spread over three failure domains.
+  /// Creates instances in three failure domains.
   MirrorFleet(size_t instances, uint64_t seed) : store(&clock), random_(seed) {
     for (size_t i = 0; i < instances; ++i) Add("instance-" + std::to_string(i));
   }
 
   void Add(const std::string& name) {
-    members_.push_back({name, "domain-" + std::to_string(added_++ % 3)});
+    members_.push_back(
+        {name, "domain-" + std::to_string(members_added_++ % 3)});
     all.push_back(std::make_unique<MirrorInstance>(this, name, random_()));
   }
-  /// Tells everybody who is there. In a deployment that comes by the store too.
-  void TellMembers() {
-    std::vector<core::mirror::Member> living;
+  /// Updates the member list of all instances at once. In a deployment it comes
+  /// from the store.
+  void UpdateMembers() {
+    std::vector<core::mirror::Member> live;
     for (const core::mirror::Member& member : members_) {
       const MirrorInstance* instance = Find(member.instance);
-      if (instance != nullptr) living.push_back(member);
+      if (instance != nullptr) live.push_back(member);
     }
-    for (const auto& each : all) each->SetMembers(living);
+    for (const auto& each : all) each->SetMembers(live);
   }
   void Start() {
-    TellMembers();
+    UpdateMembers();
     for (const auto& each : all) each->Start();
     clock.RunUntil(clock.now() + milliseconds(5000));
   }
@@ -120,7 +125,7 @@
     }
     return nullptr;
   }
-  size_t Living() const {
+  size_t CountLive() const {
     return static_cast<size_t>(
         std::count_if(all.begin(), all.end(),
                       [](const auto& each) { return !each->killed(); }));
@@ -131,7 +136,7 @@
     }
     return "";
   }
-  /// Instances of which others hear.
+  /// Returns the instances that are relays for others.
   std::vector<MirrorInstance*> Relays() {
     std::vector<MirrorInstance*> relays;
     for (const auto& each : all) {
@@ -141,41 +146,42 @@
     }
     return relays;
   }
-  /// Living instances whose copy differs from the store.
-  size_t Behind() const {
+  /// Returns the number of live instances whose copy differs from the store.
+  size_t CountStale() const {
     return static_cast<size_t>(
         std::count_if(all.begin(), all.end(), [this](const auto& each) {
           return !each->killed() && each->entries() != store.keys();
         }));
   }
-  /// Time until all copies are the store's, or `bound`.
-  milliseconds TimeUntilLevel(milliseconds bound) {
+  /// Runs until all live copies equal the store's keys. Returns the time
+  /// accepted, `bound` at most.
+  milliseconds TimeUntilConverged(milliseconds bound) {
     const TimePoint start = clock.now();
-    while (Behind() > 0 && clock.now() - start < bound) {
+    while (CountStale() > 0 && clock.now() - start < bound) {
       RunFor(milliseconds(10));
     }
     return std::chrono::duration_cast<milliseconds>(clock.now() - start);
   }
-  uint64_t Bytes() const {
-    uint64_t bytes = 0;
-    for (const auto& each : all) bytes += each->bytes;
-    return bytes;
+  uint64_t TotalBytes() const {
+    uint64_t total = 0;
+    for (const auto& each : all) total += each->bytes_received;
+    return total;
   }
 
   VirtualClock clock;
   FakeStoreKeys store;
   std::vector<std::unique_ptr<MirrorInstance>> all;
-  /// Pairs (from, to) between which nothing passes.
-  std::set<std::pair<std::string, std::string>> cut;
-  /// What went wrong, by the instances' own account.
-  std::vector<std::string> faults;
-  /// The newest lines of all instances' logs.
-  std::deque<std::string> lines;
+  /// Pairs (from, to) of instances whose link is down.
+  std::set<std::pair<std::string, std::string>> blocked_links;
+  /// Violations that instances have detected.
+  std::vector<std::string> violations;
+  /// The newest log log_lines of all instances.
+  std::deque<std::string> log_lines;
 
  private:
   std::mt19937_64 random_;
   std::vector<core::mirror::Member> members_;
-  size_t added_ = 0;
+  size_t members_added_ = 0;
 };
 
 inline MirrorInstance::MirrorInstance(MirrorFleet* fleet, std::string name,
@@ -190,25 +196,25 @@
               }),
       relay_(&mirror_.log(), this) {}
 
-inline void StoryLog::Write(core::EventWeight /*weight*/,
-                            std::string_view line) {
-  constexpr size_t kMostLines = 200;
+inline void RecordingLog::Write(core::EventWeight /*weight*/,
+                                std::string_view line) {
+  constexpr size_t kMaxLines = 200;
   const auto at = std::chrono::duration_cast<milliseconds>(
       fleet_->clock.now().time_since_epoch());
-  fleet_->lines.push_back(std::to_string(at.count()) + " " + name_ + " " +
-                          std::string(line));
-  if (fleet_->lines.size() > kMostLines) fleet_->lines.pop_front();
+  fleet_->log_lines.push_back(std::to_string(at.count()) + " " + name_ + " " +
+                              std::string(line));
+  if (fleet_->log_lines.size() > kMaxLines) fleet_->log_lines.pop_front();
 }
 
 inline TimePoint MirrorInstance::Now() const { return fleet_->clock.now(); }
 
 inline void MirrorInstance::Deliver(const std::function<void()>& work) {
   if (killed_) return;
-  if (Now() >= frozen_until_) {
+  if (Now() >= suspended_until_) {
     work();
     return;
   }
-  fleet_->clock.At(frozen_until_, [this, work] { Deliver(work); });
+  fleet_->clock.At(suspended_until_, [this, work] { Deliver(work); });
 }
 
 inline void MirrorInstance::Start() {
@@ -234,10 +240,10 @@
 
 inline void MirrorInstance::Answered(const ReadResult& result) {
   mirror_.Answered(Now(), result);
-  if (mirror_.as_of() < newest_seen_) {
-    fleet_->faults.push_back(name_ + " went back");
+  if (mirror_.as_of() < max_as_of_) {
+    fleet_->violations.push_back(name_ + ": revision of the copy decreased");
   }
-  newest_seen_ = mirror_.as_of();
+  max_as_of_ = mirror_.as_of();
   relay_.SetState(mirror_.relay_state(), mirror_.confirmed_at());
   relay_.Changed();
 }
@@ -257,10 +263,10 @@
                       });
 }
 
-/// One way between two instances.
-inline constexpr milliseconds kLink{1};
-/// Within this time a relay has to show that it lives, or it is not asked.
-inline constexpr milliseconds kAliveTime{200};
+/// One-way latency between two instances.
+inline constexpr milliseconds kLinkLatency{1};
+/// A relay that does not accept a call within this time counts as unreachable.
+inline constexpr milliseconds kLivenessTimeout{200};
 
 inline void MirrorInstance::AskRelay(const std::string& instance,
                                      uint64_t after, milliseconds wait,
@@ -273,15 +279,15 @@
   fleet_->clock.At(deadline, [this, finish] {
     Deliver([finish] { finish(ReadError::kUnreachable); });
   });
-  const auto passes = [this, instance] {
-    return fleet_->cut.count({name_, instance}) == 0 &&
-           fleet_->cut.count({instance, name_}) == 0;
+  const auto link_is_up = [this, instance] {
+    return fleet_->blocked_links.count({name_, instance}) == 0 &&
+           fleet_->blocked_links.count({instance, name_}) == 0;
   };
   const std::string question = wire::WriteRelayQuestion({after, wait});
-  const auto take = [this, finish, passes](const std::string& body) {
-    if (!passes()) return;
-    bytes += body.size();
-    fleet_->clock.After(kLink, [this, finish, body] {
+  const auto receive = [this, finish, link_is_up](const std::string& body) {
+    if (!link_is_up()) return;
+    bytes_received += body.size();
+    fleet_->clock.After(kLinkLatency, [this, finish, body] {
       Deliver([this, finish, body] {
         finish(wire::ReadRelayAnswer(
             body, [this](const std::string& key) -> const Entry* {
@@ -291,28 +297,28 @@
       });
     });
   };
-  const TimePoint alive_by = Now() + kAliveTime;
-  const auto taken = std::make_shared<bool>(false);
-  fleet_->clock.At(alive_by, [this, finish, taken] {
-    if (*taken) return;
+  const TimePoint liveness_deadline = Now() + kLivenessTimeout;
+  const auto accepted = std::make_shared<bool>(false);
+  fleet_->clock.At(liveness_deadline, [this, finish, accepted] {
+    if (*accepted) return;
     Deliver([finish] { finish(ReadError::kUnreachable); });
   });
-  fleet_->clock.After(kLink, [=, this] {
+  fleet_->clock.After(kLinkLatency, [=, this] {
     MirrorInstance* relay = fleet_->Find(instance);
-    if (!passes()) return;
+    if (!link_is_up()) return;
     if (relay == nullptr) {
       Deliver([finish] { finish(ReadError::kUnreachable); });
       return;
     }
     relay->Deliver([=] {
-      if (relay->Now() > alive_by) return;
-      *taken = true;
-      relay->Asked(question, take);
+      if (relay->Now() > liveness_deadline) return;
+      *accepted = true;
+      relay->HandleQuestion(question, receive);
     });
   });
 }
 
-inline void MirrorInstance::Asked(
+inline void MirrorInstance::HandleQuestion(
     const std::string& question,
     const std::function<void(const std::string&)>& done) {
   const auto read = wire::ReadRelayQuestion(question);
--- a/testsuite/task_supervisor/deadline_timer_test.cc
+++ b/testsuite/task_supervisor/deadline_timer_test.cc
@@ -23,9 +23,9 @@
   DeadlineTimer timer_{&loop_, [this] { ++fired_; }};
 };
 
-// A state machine names its deadline after each event. An earlier one has to
-// replace a later one, or what is due would wait for the later; a later one
-// must not add a second timer, or each event would leave one behind.
+// A state machine reports its deadline after each event. An earlier deadline
+// has to replace a later one, or the timer fires too late; a later one must not
+// add a second timer, or each event leaves one behind.
 TEST_F(DeadlineTimerTest, FiresOnceAtTheEarliestDeadline) {
   const TimePoint now = Clock::now();
   timer_.ArmFor(now + std::chrono::hours(1));
@@ -36,7 +36,7 @@
   EXPECT_EQ(fired_, 1);
 }
 
-TEST_F(DeadlineTimerTest, CanBeArmedAnewOnceItHasFired) {
+TEST_F(DeadlineTimerTest, CanBeArmedAgainOnceItHasFired) {
   int left = 3;
   DeadlineTimer again(&loop_, [&] {
     if (--left == 0) return loop_.Stop();
@@ -48,12 +48,12 @@
   EXPECT_EQ(left, 0);
 }
 
-// Its owner ends while a deadline is ahead; nothing may be called then.
-TEST_F(DeadlineTimerTest, DoesNotFireAfterItsEnd) {
-  auto ended = std::make_unique<DeadlineTimer>(
-      &loop_, [] { ADD_FAILURE() << "fired after its end"; });
-  ended->ArmFor(Clock::now() + milliseconds(20));
-  ended.reset();
+// A timer that is destroyed before its deadline must not call its owner.
+TEST_F(DeadlineTimerTest, DoesNotFireAfterDestruction) {
+  auto timer = std::make_unique<DeadlineTimer>(
+      &loop_, [] { ADD_FAILURE() << "fired after its destruction"; });
+  timer->ArmFor(Clock::now() + milliseconds(20));
+  timer.reset();
   RunFor(milliseconds(100));
 }
 
--- a/testsuite/task_supervisor/task_supervisor_test.cc
+++ b/testsuite/task_supervisor/task_supervisor_test.cc
@@ -19,10 +19,10 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::chrono::hours kForever{1};
+constexpr std::chrono::hours kLongWindow{1};
 
-/// What happened, in order, from any thread.
-class Journal {
+/// A thread-safe list of events in order.
+class EventList {
  public:
   void Add(const std::string& line) {
     std::lock_guard<std::mutex> lock(mutex_);
@@ -38,28 +38,31 @@
   std::vector<std::string> lines_;
 };
 
-/// A task that does what a test says when it starts.
+/// A task that runs a test's function when it starts.
 class ScriptedTask : public Task {
  public:
-  ScriptedTask(std::string name, Journal* journal,
+  ScriptedTask(std::string name, EventList* events_seen,
                std::function<void(Loop*)> start)
-      : name_(std::move(name)), journal_(journal), start_(std::move(start)) {}
+      : name_(std::move(name)),
+        events_seen_(events_seen),
+        start_(std::move(start)) {}
 
   void Start(Loop* loop) override {
-    journal_->Add("start " + name_);
+    events_seen_->Add("start " + name_);
     if (start_) start_(loop);
   }
-  void Stop() override { journal_->Add("stop " + name_); }
+  void Stop() override { events_seen_->Add("stop " + name_); }
 
  private:
   const std::string name_;
-  Journal* journal_;
+  EventList* events_seen_;
   const std::function<void(Loop*)> start_;
 };
 
-Supervisor::Factory Scripted(const std::string& name, Journal* journal,
+Supervisor::Factory Scripted(const std::string& name, EventList* events_seen,
                              const std::function<void(Loop*)>& start = {}) {
-  return [=] { return std::make_unique<ScriptedTask>(name, journal, start); };
+  return
+      [=] { return std::make_unique<ScriptedTask>(name, events_seen, start); };
 }
 
 void Fail(Loop* loop) {
@@ -101,7 +104,7 @@
   EXPECT_GE(at - start, milliseconds(20));
 }
 
-TEST(Loop, StopBeforeRunIsKept) {
+TEST(Loop, StopBeforeRunTakesEffect) {
   Loop loop;
   loop.Stop();
   loop.Run();
@@ -114,36 +117,37 @@
 }
 
 TEST(Supervisor, StartsInOrderAndStopsInReverse) {
-  Journal journal;
+  EventList events_seen;
   Supervisor root("root", {});
   for (const char* name : {"a", "b", "c"}) {
-    root.Add(name, Scripted(name, &journal));
+    root.Add(name, Scripted(name, &events_seen));
   }
   root.Start();
   root.Shutdown();
   EXPECT_TRUE(root.Wait());
-  EXPECT_EQ(journal.lines(),
+  EXPECT_EQ(events_seen.lines(),
             (std::vector<std::string>{"start a", "start b", "start c", "stop c",
                                       "stop b", "stop a"}));
 }
 
-// A defect throws in one task. Without a restart everything it served would
-// be dead until somebody restarts the process; the other tasks notice nothing.
+// A defect makes one task throw. Without a restart, its part of the service
+// would be down until the process is restarted; other tasks must not be
+// affected.
 TEST(Supervisor, FailedTaskIsRestartedAlone) {
-  Journal journal;
+  EventList events_seen;
   std::atomic<int> runs = 0;
   Supervisor root("root", {});
   std::vector<ChildEvent> events;
   root.OnChild([&](const ChildEvent& event) { events.push_back(event); });
-  root.Add("steady", Scripted("steady", &journal));
-  root.Add("shaky", Scripted("shaky", &journal, [&](Loop* loop) {
+  root.Add("steady", Scripted("steady", &events_seen));
+  root.Add("shaky", Scripted("shaky", &events_seen, [&](Loop* loop) {
              if (++runs < 3) return Fail(loop);
              loop->Post([&] { root.Shutdown(); });
            }));
   root.Start();
   EXPECT_TRUE(root.Wait());
   EXPECT_EQ(root.restarts(), 2U);
-  EXPECT_EQ(journal.lines(),
+  EXPECT_EQ(events_seen.lines(),
             (std::vector<std::string>{
                 "start steady", "start shaky", "stop shaky", "start shaky",
                 "stop shaky", "start shaky", "stop shaky", "stop steady"}));
@@ -155,20 +159,21 @@
   EXPECT_FALSE(events[2].restarted);
 }
 
-// A task fails again at once each time, say because its port is taken. Endless
-// restarts would burn a core and look alive; giving up is seen by the platform.
+// A task fails at each start, for example because its port is in use. Unlimited
+// restarts would use a core while the process appears healthy; the platform
+// detects a process that gives up.
 TEST(Supervisor, GivesUpWhenFailuresComeTooOften) {
-  Journal journal;
-  Supervisor root("root", {3, kForever});
-  root.Add("steady", Scripted("steady", &journal));
-  root.Add("doomed", Scripted("doomed", &journal, [](Loop*) {
+  EventList events_seen;
+  Supervisor root("root", {3, kLongWindow});
+  root.Add("steady", Scripted("steady", &events_seen));
+  root.Add("doomed", Scripted("doomed", &events_seen, [](Loop*) {
              throw std::runtime_error("port taken");
            }));
-  root.Add("never", Scripted("never", &journal));
+  root.Add("never", Scripted("never", &events_seen));
   root.Start();
   EXPECT_FALSE(root.Wait());
   EXPECT_EQ(root.restarts(), 3U);
-  const std::vector<std::string> lines = journal.lines();
+  const std::vector<std::string> lines = events_seen.lines();
   EXPECT_EQ(std::count(lines.begin(), lines.end(), "start doomed"), 4);
   EXPECT_EQ(std::count(lines.begin(), lines.end(), "stop doomed"), 4);
   EXPECT_EQ(std::count(lines.begin(), lines.end(), "start never"), 0);
@@ -176,10 +181,10 @@
 }
 
 TEST(Supervisor, FailuresFarApartAreForgotten) {
-  Journal journal;
+  EventList events_seen;
   std::atomic<int> runs = 0;
   Supervisor root("root", {1, milliseconds(1)});
-  root.Add("rare", Scripted("rare", &journal, [&](Loop* loop) {
+  root.Add("rare", Scripted("rare", &events_seen, [&](Loop* loop) {
              if (++runs == 5) return loop->Post([&] { root.Shutdown(); });
              loop->At(std::chrono::steady_clock::now() + milliseconds(5),
                       [] { throw std::runtime_error("rare"); });
@@ -189,17 +194,17 @@
   EXPECT_EQ(root.restarts(), 4U);
 }
 
-// What a task needs has gone bad, so it fails however often it is restarted.
-// Its supervisor gives up, and the one above starts the whole branch anew.
+// State that a task depends on is corrupt, so it fails at each restart. Its
+// supervisor gives up, and the parent supervisor restarts the whole branch.
 TEST(Supervisor, NestedFailureRestartsTheBranch) {
-  Journal journal;
+  EventList events_seen;
   std::atomic<int> branches = 0;
-  Supervisor root("root", {2, kForever});
-  root.Add("outside", Scripted("outside", &journal));
-  root.AddSupervisor("branch", {1, kForever}, [&](Supervisor* branch) {
+  Supervisor root("root", {2, kLongWindow});
+  root.Add("outside", Scripted("outside", &events_seen));
+  root.AddSupervisor("branch", {1, kLongWindow}, [&](Supervisor* branch) {
     const bool good = ++branches == 2;
-    branch->Add("inner", Scripted("inner", &journal));
-    branch->Add("leaf", Scripted("leaf", &journal, [&, good](Loop* loop) {
+    branch->Add("inner", Scripted("inner", &events_seen));
+    branch->Add("leaf", Scripted("leaf", &events_seen, [&, good](Loop* loop) {
                   if (!good) return Fail(loop);
                   loop->Post([&] { root.Shutdown(); });
                 }));
@@ -207,7 +212,7 @@
   root.Start();
   EXPECT_TRUE(root.Wait());
   EXPECT_EQ(root.restarts(), 1U);
-  const std::vector<std::string> lines = journal.lines();
+  const std::vector<std::string> lines = events_seen.lines();
   EXPECT_EQ(std::count(lines.begin(), lines.end(), "start inner"), 2);
   EXPECT_EQ(std::count(lines.begin(), lines.end(), "start leaf"), 3);
   EXPECT_EQ(std::count(lines.begin(), lines.end(), "start outside"), 1);
@@ -215,23 +220,23 @@
 }
 
 TEST(Supervisor, NestedFailureThatStaysEndsTheTree) {
-  Journal journal;
-  Supervisor root("root", {1, kForever});
-  root.AddSupervisor("branch", {1, kForever}, [&](Supervisor* branch) {
-    branch->Add("leaf", Scripted("leaf", &journal, Fail));
+  EventList events_seen;
+  Supervisor root("root", {1, kLongWindow});
+  root.AddSupervisor("branch", {1, kLongWindow}, [&](Supervisor* branch) {
+    branch->Add("leaf", Scripted("leaf", &events_seen, Fail));
   });
   root.Start();
   EXPECT_FALSE(root.Wait());
-  // Two runs of the branch, each of two runs of the leaf.
-  const std::vector<std::string> lines = journal.lines();
+  // Two runs of the branch, each with two runs of the leaf.
+  const std::vector<std::string> lines = events_seen.lines();
   EXPECT_EQ(std::count(lines.begin(), lines.end(), "start leaf"), 4);
 }
 
 /// Reads numbers from a mailbox that outlives it; one of them makes it fail.
 class Reader : public Task {
  public:
-  Reader(Mailbox<int>* mailbox, Journal* journal, Supervisor* root)
-      : mailbox_(mailbox), journal_(journal), root_(root) {}
+  Reader(Mailbox<int>* mailbox, EventList* events_seen, Supervisor* root)
+      : mailbox_(mailbox), events_seen_(events_seen), root_(root) {}
 
   void Start(Loop* loop) override {
     mailbox_->Open(loop, [this](int number) { Read(number); });
@@ -244,33 +249,33 @@
 
   void Read(int number) {
     if (number == kPoison) throw std::runtime_error("poison");
-    journal_->Add(std::to_string(number));
+    events_seen_->Add(std::to_string(number));
     if (number == kLast) root_->Shutdown();
   }
 
   Mailbox<int>* mailbox_;
-  Journal* journal_;
+  EventList* events_seen_;
   Supervisor* root_;
 };
 
-// A task fails on one of several messages that it was given together. The
-// others are requests of callers who would wait in vain if they were dropped
-// with it.
+// A task fails on one message of a batch. The others are requests of callers,
+// who would wait in vain if the messages were dropped with it.
 TEST(Mailbox, MessagesSurviveTheFailureOfTheirReader) {
-  Journal journal;
+  EventList events_seen;
   Mailbox<int> mailbox;
   for (int i = 1; i <= 6; ++i) EXPECT_TRUE(mailbox.Send(i));
   Supervisor root("root", {});
-  root.Add("reader",
-           [&] { return std::make_unique<Reader>(&mailbox, &journal, &root); });
+  root.Add("reader", [&] {
+    return std::make_unique<Reader>(&mailbox, &events_seen, &root);
+  });
   root.Start();
   EXPECT_TRUE(root.Wait());
   EXPECT_EQ(root.restarts(), 1U);
-  EXPECT_EQ(journal.lines(),
+  EXPECT_EQ(events_seen.lines(),
             (std::vector<std::string>{"1", "2", "4", "5", "6"}));
 }
 
-TEST(Mailbox, FullOneTakesNothing) {
+TEST(Mailbox, FullMailboxRejectsMessages) {
   Mailbox<int> mailbox(2);
   EXPECT_TRUE(mailbox.Send(1));
   EXPECT_TRUE(mailbox.Send(2));
