--- a/src/include/ryefold/core/mirror/entry.h
+++ b/src/include/ryefold/core/mirror/entry.h
@@ -48,10 +48,10 @@
 };
 
 enum class ReadError : uint8_t {
-  kUnreachable,  ///< No answer, or a refusal of the call.
-  kHistoryGone,  ///< The requested changes are no longer in the history.
-  kUnreadable,   ///< The answer cannot be parsed.
-  kNotCurrent,   ///< The relay is not following the store.
+  kUnreachable,       ///< No answer, or a refusal of the call.
+  kHistoryCompacted,  ///< The requested changes are no longer in the history.
+  kUnreadable,        ///< The answer cannot be parsed.
+  kNotCurrent,        ///< The relay is not following the store.
 };
 
 /// Returns the name used in log lines.
--- a/src/include/ryefold/core/mirror/mirror.h
+++ b/src/include/ryefold/core/mirror/mirror.h
@@ -96,9 +96,9 @@
 };
 
 /// How soon the next watch has to be sent.
-enum class WatchPace : uint8_t { kUsual, kHurried, kAtOnce };
+enum class WatchUrgency : uint8_t { kNormal, kUrgent, kImmediate };
 
-/// Sends calls to the sources. Each call leads to one `Answered` of the mirror,
+/// Sends calls to the sources. Each call leads to one `OnAnswer` of the mirror,
 /// after the call has returned.
 class MirrorPort {
  public:
@@ -122,15 +122,15 @@
  public:
   /// `changed` holds the keys that were written or deleted; after a listing,
   /// all that differ from the copy.
-  using Listener = std::function<WatchPace(const EntryMap& entries,
-                                           const EntryMap& changed)>;
+  using Listener = std::function<WatchUrgency(const EntryMap& entries,
+                                              const EntryMap& changed)>;
 
   Mirror(MirrorTiming timing, bool first_start, uint64_t seed, MirrorPort* port,
          EventSink* events, Listener listener);
 
   void Start(TimePoint now);
   void SetPlan(RelayPlan plan) { plan_ = std::move(plan); }
-  void Answered(TimePoint now, const ReadResult& result);
+  void OnAnswer(TimePoint now, const ReadResult& result);
   void Tick(TimePoint now);
   TimePoint next_deadline() const { return due_; }
 
--- a/src/include/ryefold/core/mirror/relay.h
+++ b/src/include/ryefold/core/mirror/relay.h
@@ -13,7 +13,7 @@
 namespace ryefold::core::mirror {
 
 /// Identifies one call of another instance; chosen by the port, never reused.
-using RelayCall = uint64_t;
+using RelayCallId = uint64_t;
 
 struct RelayAnswer {
   /// This instance follows the store and its copy is current. If false, the
@@ -38,7 +38,7 @@
 class RelayPort {
  public:
   virtual ~RelayPort() = default;
-  virtual void AnswerRelayed(RelayCall call, const RelayAnswer& answer) = 0;
+  virtual void SendRelayAnswer(RelayCallId call, const RelayAnswer& answer) = 0;
 };
 
 /// State machine that holds calls until there are changes to send. Not
@@ -50,18 +50,18 @@
   /// Handles a call of an instance that has read up to revision `after` (0:
   /// nothing). The call is answered when changes arrive, at `wait_until` at the
   /// latest, so that a timeout shows that a relay is suspended.
-  void Asked(TimePoint now, RelayCall call, uint64_t after,
-             TimePoint wait_until);
+  void HandleRequest(TimePoint now, RelayCallId call, uint64_t after,
+                     TimePoint wait_until);
   /// Drops a call whose sender no longer waits.
-  void Gone(RelayCall call) { pending_.erase(call); }
+  void DropRequest(RelayCallId call) { pending_.erase(call); }
 
   /// Sets `Mirror::relay_state` and `Mirror::confirmed_at`.
   void SetState(RelayState state, TimePoint confirmed_at);
   /// Answers waiting calls after changes were applied to the log.
-  void Changed();
+  void OnLogChanged();
   void Tick(TimePoint now);
   TimePoint next_deadline() const;
-  size_t waiting() const { return pending_.size(); }
+  size_t pending_requests() const { return pending_.size(); }
 
  private:
   struct PendingRequest {
@@ -76,7 +76,7 @@
   RelayPort* port_;
   RelayState state_ = RelayState::kNotCurrent;
   TimePoint confirmed_at_;
-  std::map<RelayCall, PendingRequest> pending_;
+  std::map<RelayCallId, PendingRequest> pending_;
 };
 
 }  // namespace ryefold::core::mirror
--- a/src/include/ryefold/settings/catalog.h
+++ b/src/include/ryefold/settings/catalog.h
@@ -30,6 +30,6 @@
 std::string HashKey(std::string_view salt, std::string_view key);
 
 /// Compares two keys in time that does not depend on where they differ.
-bool SameKey(std::string_view left, std::string_view right);
+bool KeysEqual(std::string_view left, std::string_view right);
 
 }  // namespace ryefold::settings
--- a/src/include/ryefold/task/clock.h
+++ b/src/include/ryefold/task/clock.h
@@ -14,7 +14,7 @@
 
 /// Converts a time of `BootTime` to the steady clock, which sockets and timers
 /// use, keeping its distance from now.
-std::chrono::steady_clock::time_point OnSteadyClock(
+std::chrono::steady_clock::time_point ToSteadyClock(
     std::chrono::steady_clock::time_point boot_time);
 
 }  // namespace ryefold::task
--- a/src/include/ryefold/task/event_log.h
+++ b/src/include/ryefold/task/event_log.h
@@ -34,7 +34,7 @@
 
   /// Writes the buffered lines, as far as the descriptor accepts them.
   void Flush();
-  uint64_t left_out() const { return dropped_lines_; }
+  uint64_t dropped_lines() const { return dropped_lines_; }
 
  private:
   void Tick();
--- a/src/include/ryefold/task/supervisor.h
+++ b/src/include/ryefold/task/supervisor.h
@@ -62,7 +62,7 @@
 
   /// Sets the function that is called on a child's thread after its `Stop`,
   /// before a restart.
-  void OnChild(std::function<void(const ChildEvent&)> listener);
+  void SetChildListener(std::function<void(const ChildEvent&)> listener);
 
   /// Starts all children and returns.
   void Start();
--- a/src/include/ryefold/wire/mirror_codec.h
+++ b/src/include/ryefold/wire/mirror_codec.h
@@ -33,7 +33,8 @@
 using EntryLookup =
     std::function<const core::mirror::Entry*(const std::string& key)>;
 
-/// `kHistoryGone` when a difference is to a value that this side does not hold.
+/// `kHistoryCompacted` when a difference is to a value that this side does not
+/// hold.
 core::mirror::ReadResult ReadRelayAnswer(std::string_view body,
                                          const EntryLookup& lookup);
 
--- a/src/libcore/mirror/change_log.cc
+++ b/src/libcore/mirror/change_log.cc
@@ -28,7 +28,7 @@
   switch (error) {
     case ReadError::kUnreachable:
       return "unreachable";
-    case ReadError::kHistoryGone:
+    case ReadError::kHistoryCompacted:
       return "history_compacted";
     case ReadError::kUnreadable:
       return "unreadable";
--- a/src/libcore/mirror/mirror.cc
+++ b/src/libcore/mirror/mirror.cc
@@ -127,7 +127,7 @@
                   now + wait + timing_.relay_answer_timeout);
 }
 
-void Mirror::Answered(TimePoint now, const ReadResult& result) {
+void Mirror::OnAnswer(TimePoint now, const ReadResult& result) {
   const Call call = std::exchange(call_, Call::kNone);
   if (call == Call::kAskRelay) {
     const bool behind = result && result.value().as_of < as_of();
@@ -235,13 +235,13 @@
 
 void Mirror::NotifyListener(TimePoint now, const EntryMap& changed) {
   switch (listener_(log_.entries(), changed)) {
-    case WatchPace::kUsual:
+    case WatchUrgency::kNormal:
       break;
-    case WatchPace::kHurried:
+    case WatchUrgency::kUrgent:
       next_watch_at_ =
           std::min(next_watch_at_, now + timing_.urgent_watch_interval);
       break;
-    case WatchPace::kAtOnce:
+    case WatchUrgency::kImmediate:
       next_watch_at_ = TimePoint();
       break;
   }
@@ -275,7 +275,7 @@
   listing_.clear();
   list_due_ = true;
   // The store is healthy, but changes may have been missed.
-  if (error == ReadError::kHistoryGone) {
+  if (error == ReadError::kHistoryCompacted) {
     store_healthy_ = true;
     missed_changes_ = true;
     Event(events_, EventWeight::kState, "history_compacted")
@@ -323,7 +323,7 @@
 }
 
 void Mirror::OnRelayFailure(TimePoint now, ReadError error) {
-  if (error == ReadError::kHistoryGone && !needs_full_copy_) {
+  if (error == ReadError::kHistoryCompacted && !needs_full_copy_) {
     needs_full_copy_ = true;
     return;
   }
--- a/src/libcore/mirror/relay.cc
+++ b/src/libcore/mirror/relay.cc
@@ -18,12 +18,12 @@
   return answer;
 }
 
-void Relay::Asked(TimePoint now, RelayCall call, uint64_t after,
-                  TimePoint wait_until) {
+void Relay::HandleRequest(TimePoint now, RelayCallId call, uint64_t after,
+                          TimePoint wait_until) {
   const bool current = state_ == RelayState::kCurrent;
   const bool has_changes = current && after < log_->as_of();
   if (state_ == RelayState::kNotCurrent || has_changes || now >= wait_until) {
-    port_->AnswerRelayed(call, AnswerFor(after));
+    port_->SendRelayAnswer(call, AnswerFor(after));
     return;
   }
   pending_[call] = {after, wait_until};
@@ -31,13 +31,13 @@
 
 template <class Predicate>
 void Relay::AnswerMatching(const Predicate& matches) {
-  std::vector<std::pair<RelayCall, uint64_t>> answered;
+  std::vector<std::pair<RelayCallId, uint64_t>> answered;
   for (const auto& [call, each] : pending_) {
     if (matches(each)) answered.emplace_back(call, each.after);
   }
   for (const auto& [call, after] : answered) {
     pending_.erase(call);
-    port_->AnswerRelayed(call, AnswerFor(after));
+    port_->SendRelayAnswer(call, AnswerFor(after));
   }
 }
 
@@ -51,7 +51,7 @@
   }
 }
 
-void Relay::Changed() {
+void Relay::OnLogChanged() {
   if (state_ != RelayState::kCurrent) return;
   const uint64_t as_of = log_->as_of();
   AnswerMatching(
--- a/src/libsettings/keys.cc
+++ b/src/libsettings/keys.cc
@@ -28,7 +28,7 @@
   return hex;
 }
 
-bool SameKey(std::string_view left, std::string_view right) {
+bool KeysEqual(std::string_view left, std::string_view right) {
   if (left.size() != right.size()) return false;
   return CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
 }
--- a/src/libtask/clock.cc
+++ b/src/libtask/clock.cc
@@ -11,7 +11,7 @@
       std::chrono::seconds(now.tv_sec) + std::chrono::nanoseconds(now.tv_nsec));
 }
 
-std::chrono::steady_clock::time_point OnSteadyClock(
+std::chrono::steady_clock::time_point ToSteadyClock(
     std::chrono::steady_clock::time_point boot_time) {
   return std::chrono::steady_clock::now() + (boot_time - BootTime());
 }
--- a/src/libtask/supervisor.cc
+++ b/src/libtask/supervisor.cc
@@ -136,7 +136,7 @@
     children_.back()->make = std::move(make);
   }
 
-  void OnChild(std::function<void(const ChildEvent&)> listener) {
+  void SetChildListener(std::function<void(const ChildEvent&)> listener) {
     listener_ = std::move(listener);
   }
 
@@ -300,8 +300,9 @@
   });
 }
 
-void Supervisor::OnChild(std::function<void(const ChildEvent&)> listener) {
-  impl_->OnChild(std::move(listener));
+void Supervisor::SetChildListener(
+    std::function<void(const ChildEvent&)> listener) {
+  impl_->SetChildListener(std::move(listener));
 }
 
 void Supervisor::Start() { impl_->Start(); }
--- a/src/libwire/mirror_codec.cc
+++ b/src/libwire/mirror_codec.cc
@@ -144,7 +144,7 @@
       case Outcome::kKnown:
         break;
       case Outcome::kOtherBase:
-        return ReadError::kHistoryGone;
+        return ReadError::kHistoryCompacted;
       case Outcome::kUnreadable:
         return ReadError::kUnreadable;
     }
--- a/src/ryefoldd/access.cc
+++ b/src/ryefoldd/access.cc
@@ -27,12 +27,12 @@
   const auto found = catalog.workspaces.find(workspace);
   if (key.empty() || found == catalog.workspaces.end()) return nullptr;
   const auto known = known_.find(workspace);
-  if (known != known_.end() && settings::SameKey(known->second, key)) {
+  if (known != known_.end() && settings::KeysEqual(known->second, key)) {
     return &found->second;
   }
   const core::WorkspaceSpec& spec = found->second;
-  if (!settings::SameKey(settings::HashKey(spec.key_salt, key),
-                         spec.key_hash)) {
+  if (!settings::KeysEqual(settings::HashKey(spec.key_salt, key),
+                           spec.key_hash)) {
     return nullptr;
   }
   known_[workspace] = std::string(key);
@@ -41,7 +41,7 @@
 
 bool IsOperator(const std::string& admin_key, const std::string& header) {
   const std::string_view key = KeyOf(header);
-  return !admin_key.empty() && settings::SameKey(admin_key, key);
+  return !admin_key.empty() && settings::KeysEqual(admin_key, key);
 }
 
 }  // namespace ryefold::ryefoldd
--- a/src/ryefoldd/forwarding_host.cc
+++ b/src/ryefoldd/forwarding_host.cc
@@ -19,7 +19,7 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 using task::BootTime;
-using task::OnSteadyClock;
+using task::ToSteadyClock;
 
 /// Time for a release to arrive. Lost, the keeper ends the transaction when it
 /// has been idle for its time.
@@ -51,8 +51,8 @@
     return;
   }
   wire::CallTerms call_terms;
-  call_terms.deadline = OnSteadyClock(terms.deadline);
-  call_terms.alive_by = OnSteadyClock(terms.alive_by);
+  call_terms.deadline = ToSteadyClock(terms.deadline);
+  call_terms.alive_by = ToSteadyClock(terms.alive_by);
   call_terms.lost_in_silence = terms.lost_in_silence;
   Sent& sent = sent_[call];
   sent.keeper = keeper;
@@ -76,7 +76,7 @@
   wire::PeerClient* peer = peers_->To(instance);
   if (peer == nullptr) return tell(false);
   wire::CallTerms terms;
-  terms.deadline = OnSteadyClock(deadline);
+  terms.deadline = ToSteadyClock(deadline);
   terms.alive_by = terms.deadline;
   peer->Call(std::string(wire::kPeerSessionAlive), {}, terms,
              [tell](const wire::PeerResult& result) {
--- a/src/ryefoldd/gateway_task.cc
+++ b/src/ryefoldd/gateway_task.cc
@@ -156,18 +156,18 @@
     });
   }
 
-  core::mirror::WatchPace PaceAfter(
+  core::mirror::WatchUrgency PaceAfter(
       const core::mirror::EntryMap& changed) const {
     // Who takes the vacant duty has to be heard of at once, or every instance
     // would reach for it.
     if (changed.count(platform::kHolderKey) > 0) {
-      return core::mirror::WatchPace::kAtOnce;
+      return core::mirror::WatchUrgency::kImmediate;
     }
     // After a restart beside a store that has lost the databases' entries
     // callers wait for these to come back. In a first start nobody does.
     const bool hurry = !settings_.first_start && proxy_->LacksDatabases();
-    return hurry ? core::mirror::WatchPace::kHurried
-                 : core::mirror::WatchPace::kUsual;
+    return hurry ? core::mirror::WatchUrgency::kUrgent
+                 : core::mirror::WatchUrgency::kNormal;
   }
 
   void StartFailover() {
@@ -322,7 +322,7 @@
     } else if (exchange.path() == "/metrics") {
       metrics_.Update(proxy_->groups(BootTime()), proxy_->counters(),
                       proxy_->callers(), proxy_->route_version(),
-                      events_->left_out(), store_->calls(), CopyAge());
+                      events_->dropped_lines(), store_->calls(), CopyAge());
       metrics_.UpdateWorkspaces(Workspaces());
       reply.body = metrics_.Text();
       reply.content_type = "text/plain; version=0.0.4";
--- a/src/ryefoldd/limits_host.cc
+++ b/src/ryefoldd/limits_host.cc
@@ -20,7 +20,7 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 using task::BootTime;
-using task::OnSteadyClock;
+using task::ToSteadyClock;
 
 /// Pace at which the writer of the table looks whether another one is due.
 constexpr milliseconds kMaintainPace{1000};
@@ -87,7 +87,7 @@
     return;
   }
   wire::CallTerms terms;
-  terms.deadline = OnSteadyClock(deadline);
+  terms.deadline = ToSteadyClock(deadline);
   terms.alive_by = terms.deadline;
   peer->Call(std::string(wire::kPeerAllowance),
              wire::WriteAllowanceRequest(request), terms,
--- a/src/ryefoldd/main.cc
+++ b/src/ryefoldd/main.cc
@@ -139,7 +139,7 @@
                   const std::string& path) {
   signal(SIGPIPE, SIG_IGN);
   task::Supervisor supervisor("ryefoldd", task::RestartLimit{});
-  supervisor.OnChild([](const task::ChildEvent& event) {
+  supervisor.SetChildListener([](const task::ChildEvent& event) {
     if (event.failure.empty()) return;
     LOG(ERROR) << "event=task_failed task=" << event.child
                << " restarted=" << event.restarted << " failure=\""
--- a/src/ryefoldd/mirror_host.cc
+++ b/src/ryefoldd/mirror_host.cc
@@ -18,7 +18,7 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 using task::BootTime;
-using task::OnSteadyClock;
+using task::ToSteadyClock;
 
 /// Time that a relay has for a sign of life before it is asked. One that died
 /// stays in the list for up to a minute and is tried again each few seconds;
@@ -62,13 +62,13 @@
 
 void MirrorHost::ListStore(const std::string& after,
                            const core::AnswerLimits& limits) {
-  store_->List(after, {OnSteadyClock(limits.deadline), limits.silence},
+  store_->List(after, {ToSteadyClock(limits.deadline), limits.silence},
                [this](const ReadResult& result) { Answered(result); });
 }
 
 void MirrorHost::WatchStore(uint64_t after, milliseconds wait,
                             const core::AnswerLimits& limits) {
-  store_->Watch(after, wait, {OnSteadyClock(limits.deadline), limits.silence},
+  store_->Watch(after, wait, {ToSteadyClock(limits.deadline), limits.silence},
                 [this](const ReadResult& result) { Answered(result); });
 }
 
@@ -80,7 +80,7 @@
     return;
   }
   wire::CallTerms terms;
-  terms.deadline = OnSteadyClock(deadline);
+  terms.deadline = ToSteadyClock(deadline);
   terms.alive_by = std::min(terms.deadline, steady_clock::now() + kAliveTime);
   peer->Call(std::string(wire::kPeerMirror),
              wire::WriteRelayQuestion({after, wait}), terms,
@@ -105,10 +105,10 @@
 }
 
 void MirrorHost::Answered(const ReadResult& result) {
-  mirror_.Answered(BootTime(), result);
+  mirror_.OnAnswer(BootTime(), result);
   relay_.SetState(retired_ ? RelayState::kNotCurrent : mirror_.relay_state(),
                   mirror_.confirmed_at());
-  relay_.Changed();
+  relay_.OnLogChanged();
   if (confirmed_) confirmed_(mirror_.confirmed_at());
   Rearm();
 }
@@ -121,21 +121,21 @@
     call.Refuse();
     return;
   }
-  const core::mirror::RelayCall id = ++last_call_;
+  const core::mirror::RelayCallId id = ++last_call_;
   calls_.insert_or_assign(id, call);
   call.OnGone([this, id] {
     loop_->Post([this, id] {
       calls_.erase(id);
-      relay_.Gone(id);
+      relay_.DropRequest(id);
     });
   });
   const core::TimePoint now = BootTime();
-  relay_.Asked(now, id, question->after, now + question->wait);
+  relay_.HandleRequest(now, id, question->after, now + question->wait);
   Rearm();
 }
 
-void MirrorHost::AnswerRelayed(core::mirror::RelayCall call,
-                               const core::mirror::RelayAnswer& answer) {
+void MirrorHost::SendRelayAnswer(core::mirror::RelayCallId call,
+                                 const core::mirror::RelayAnswer& answer) {
   const auto found = calls_.find(call);
   if (found == calls_.end()) return;
   const wire::PeerCall waiting = found->second;
@@ -153,7 +153,7 @@
 void MirrorHost::Rearm() {
   const core::TimePoint next =
       std::min(mirror_.next_deadline(), relay_.next_deadline());
-  if (next != core::TimePoint::max()) timer_.ArmFor(OnSteadyClock(next));
+  if (next != core::TimePoint::max()) timer_.ArmFor(ToSteadyClock(next));
 }
 
 }  // namespace ryefold::ryefoldd
--- a/src/ryefoldd/mirror_host.h
+++ b/src/ryefoldd/mirror_host.h
@@ -45,7 +45,7 @@
   uint64_t as_of() const { return mirror_.as_of(); }
   core::TimePoint confirmed_at() const { return mirror_.confirmed_at(); }
   /// Instances that wait for news from here.
-  size_t listeners() const { return relay_.waiting(); }
+  size_t listeners() const { return relay_.pending_requests(); }
   /// Instance that changes are heard from; empty: the store itself.
   const std::string& relay() const { return mirror_.relay(); }
 
@@ -56,8 +56,8 @@
   void AskRelay(const std::string& instance, uint64_t after,
                 std::chrono::milliseconds wait,
                 core::TimePoint deadline) override;
-  void AnswerRelayed(core::mirror::RelayCall call,
-                     const core::mirror::RelayAnswer& answer) override;
+  void SendRelayAnswer(core::mirror::RelayCallId call,
+                       const core::mirror::RelayAnswer& answer) override;
 
  private:
   void Answered(const core::mirror::ReadResult& result);
@@ -74,8 +74,8 @@
   core::mirror::Relay relay_;
   std::function<void(core::TimePoint)> confirmed_;
   bool retired_ = false;
-  core::mirror::RelayCall last_call_ = 0;
-  std::map<core::mirror::RelayCall, wire::PeerCall> calls_;
+  core::mirror::RelayCallId last_call_ = 0;
+  std::map<core::mirror::RelayCallId, wire::PeerCall> calls_;
   task::DeadlineTimer timer_;
 };
 
--- a/src/ryefoldd/tree.cc
+++ b/src/ryefoldd/tree.cc
@@ -12,7 +12,7 @@
 
 void FillTree(task::Supervisor* supervisor, Wiring* wiring,
               task::Supervisor::Factory keeper) {
-  supervisor->OnChild([wiring](const task::ChildEvent& event) {
+  supervisor->SetChildListener([wiring](const task::ChildEvent& event) {
     if (event.failure.empty()) return;
     LOG(ERROR) << "event=task_failed task=" << event.child
                << " restarted=" << event.restarted << " failure=\""
--- a/testsuite/mirror_fleet/mirror_test.cc
+++ b/testsuite/mirror_fleet/mirror_test.cc
@@ -37,15 +37,15 @@
   TimePoint now = TimePoint(std::chrono::hours(1));
   Mirror mirror(
       MirrorTiming(), /*first_start=*/false, 1, &port, nullptr,
-      [](const EntryMap&, const EntryMap&) { return WatchPace::kUsual; });
+      [](const EntryMap&, const EntryMap&) { return WatchUrgency::kNormal; });
   mirror.Start(now);
-  mirror.Answered(now += milliseconds(4), ReadingUpTo(7));
+  mirror.OnAnswer(now += milliseconds(4), ReadingUpTo(7));
   EXPECT_EQ(mirror.relay_state(), RelayState::kCurrent);
-  mirror.Answered(now += milliseconds(2000), ReadError::kHistoryGone);
+  mirror.OnAnswer(now += milliseconds(2000), ReadError::kHistoryCompacted);
   EXPECT_EQ(mirror.relay_state(), RelayState::kCatchingUp);
   mirror.Tick(now += milliseconds(1500));
   EXPECT_EQ(mirror.relay_state(), RelayState::kCatchingUp);
-  mirror.Answered(now += milliseconds(1500), ReadingUpTo(9));
+  mirror.OnAnswer(now += milliseconds(1500), ReadingUpTo(9));
   EXPECT_EQ(mirror.relay_state(), RelayState::kCurrent);
 }
 
@@ -58,30 +58,31 @@
   TimePoint now = TimePoint(std::chrono::hours(1));
   Mirror mirror(
       MirrorTiming(), /*first_start=*/false, 1, &port, nullptr,
-      [](const EntryMap&, const EntryMap&) { return WatchPace::kUsual; });
+      [](const EntryMap&, const EntryMap&) { return WatchUrgency::kNormal; });
   RelayPlan plan;
   plan.follows_store = false;
   plan.sources = {"relay"};
   mirror.SetPlan(plan);
   mirror.Start(now);
-  mirror.Answered(now += milliseconds(4), ReadingUpTo(7));
+  mirror.OnAnswer(now += milliseconds(4), ReadingUpTo(7));
   // It starts with the store and switches to its relay later.
-  mirror.Answered(now += milliseconds(2100), ReadingUpTo(7));
+  mirror.OnAnswer(now += milliseconds(2100), ReadingUpTo(7));
   ASSERT_EQ(mirror.relay(), "relay");
   const TimePoint confirmed_before = mirror.confirmed_at();
   Reading differs = ReadingUpTo(7);
   differs.digest = mirror.log().digest() + 1;
-  mirror.Answered(now += milliseconds(1000), differs);
+  mirror.OnAnswer(now += milliseconds(1000), differs);
   EXPECT_EQ(mirror.confirmed_at(), confirmed_before);
   Reading same = ReadingUpTo(7);
   same.digest = mirror.log().digest();
-  mirror.Answered(now += milliseconds(1000), same);
+  mirror.OnAnswer(now += milliseconds(1000), same);
   EXPECT_GT(mirror.confirmed_at(), confirmed_before);
 }
 
 class CountingPort : public RelayPort {
  public:
-  void AnswerRelayed(RelayCall /*call*/, const RelayAnswer& answer) override {
+  void SendRelayAnswer(RelayCallId /*call*/,
+                       const RelayAnswer& answer) override {
     ++answers;
     last = answer;
   }
@@ -98,10 +99,10 @@
   Relay relay(&log, &port);
   const TimePoint start = TimePoint(std::chrono::hours(1));
   relay.SetState(RelayState::kCurrent, start);
-  relay.Asked(start, 1, log.as_of(), start + milliseconds(1000));
+  relay.HandleRequest(start, 1, log.as_of(), start + milliseconds(1000));
   relay.SetState(RelayState::kCatchingUp, start);
-  relay.Asked(start, 2, log.as_of(), start + milliseconds(1000));
-  relay.Changed();
+  relay.HandleRequest(start, 2, log.as_of(), start + milliseconds(1000));
+  relay.OnLogChanged();
   EXPECT_EQ(port.answers, 0);
   relay.Tick(start + milliseconds(1000));
   EXPECT_EQ(port.answers, 2);
--- a/testsuite/settings_catalog/catalog_test.cc
+++ b/testsuite/settings_catalog/catalog_test.cc
@@ -42,8 +42,8 @@
   const core::WorkspaceSpec& gates = catalog.workspaces.at("gates");
   EXPECT_EQ(gates.policy.weight, 4U);
   EXPECT_EQ(gates.policy.max_age, std::chrono::milliseconds(5000));
-  EXPECT_TRUE(SameKey(gates.key_hash, HashKey(gates.key_salt, "secret")));
-  EXPECT_FALSE(SameKey(gates.key_hash, HashKey(gates.key_salt, "Secret")));
+  EXPECT_TRUE(KeysEqual(gates.key_hash, HashKey(gates.key_salt, "secret")));
+  EXPECT_FALSE(KeysEqual(gates.key_hash, HashKey(gates.key_salt, "Secret")));
 }
 
 TEST(Catalog, ReferencesMayBeToPublishedDocuments) {
--- a/testsuite/support/mirror/fake_store_keys.h
+++ b/testsuite/support/mirror/fake_store_keys.h
@@ -94,7 +94,7 @@
              const std::function<void(const ReadResult&)>& done) {
     if (!AcceptCall(instance, limits, done)) return;
     if (after < history_from_) {
-      clock_->After(delay, [done] { done(ReadError::kHistoryGone); });
+      clock_->After(delay, [done] { done(ReadError::kHistoryCompacted); });
       return;
     }
     const uint64_t number = ++last_watch_id_;
--- a/testsuite/support/mirror/fleet.h
+++ b/testsuite/support/mirror/fleet.h
@@ -62,8 +62,8 @@
                   const AnswerLimits& limits) override;
   void AskRelay(const std::string& instance, uint64_t after, milliseconds wait,
                 TimePoint deadline) override;
-  void AnswerRelayed(core::mirror::RelayCall call,
-                     const core::mirror::RelayAnswer& answer) override;
+  void SendRelayAnswer(core::mirror::RelayCallId call,
+                       const core::mirror::RelayAnswer& answer) override;
 
   /// Handles a question of another instance; `done` receives the answer's body.
   void HandleQuestion(const std::string& question,
@@ -84,8 +84,8 @@
   TimePoint suspended_until_;
   core::mirror::Mirror mirror_;
   core::mirror::Relay relay_;
-  core::mirror::RelayCall last_call_ = 0;
-  std::map<core::mirror::RelayCall, std::function<void(const std::string&)>>
+  core::mirror::RelayCallId last_call_ = 0;
+  std::map<core::mirror::RelayCallId, std::function<void(const std::string&)>>
       calls_;
   uint64_t max_as_of_ = 0;
 };
@@ -192,7 +192,7 @@
       mirror_(core::mirror::MirrorTiming(), /*first_start=*/false, seed, this,
               &log_,
               [](const EntryMap&, const EntryMap&) {
-                return core::mirror::WatchPace::kUsual;
+                return core::mirror::WatchUrgency::kNormal;
               }),
       relay_(&mirror_.log(), this) {}
 
@@ -239,13 +239,13 @@
 }
 
 inline void MirrorInstance::Answered(const ReadResult& result) {
-  mirror_.Answered(Now(), result);
+  mirror_.OnAnswer(Now(), result);
   if (mirror_.as_of() < max_as_of_) {
     fleet_->violations.push_back(name_ + ": revision of the copy decreased");
   }
   max_as_of_ = mirror_.as_of();
   relay_.SetState(mirror_.relay_state(), mirror_.confirmed_at());
-  relay_.Changed();
+  relay_.OnLogChanged();
 }
 
 inline void MirrorInstance::ListStore(const std::string& after,
@@ -322,13 +322,13 @@
     const std::string& question,
     const std::function<void(const std::string&)>& done) {
   const auto read = wire::ReadRelayQuestion(question);
-  const core::mirror::RelayCall call = ++last_call_;
+  const core::mirror::RelayCallId call = ++last_call_;
   calls_[call] = done;
-  relay_.Asked(Now(), call, read->after, Now() + read->wait);
+  relay_.HandleRequest(Now(), call, read->after, Now() + read->wait);
 }
 
-inline void MirrorInstance::AnswerRelayed(
-    core::mirror::RelayCall call, const core::mirror::RelayAnswer& answer) {
+inline void MirrorInstance::SendRelayAnswer(
+    core::mirror::RelayCallId call, const core::mirror::RelayAnswer& answer) {
   const auto found = calls_.find(call);
   if (found == calls_.end()) return;
   const auto done = found->second;
--- a/testsuite/task_supervisor/task_supervisor_test.cc
+++ b/testsuite/task_supervisor/task_supervisor_test.cc
@@ -138,7 +138,8 @@
   std::atomic<int> runs = 0;
   Supervisor root("root", {});
   std::vector<ChildEvent> events;
-  root.OnChild([&](const ChildEvent& event) { events.push_back(event); });
+  root.SetChildListener(
+      [&](const ChildEvent& event) { events.push_back(event); });
   root.Add("steady", Scripted("steady", &events_seen));
   root.Add("shaky", Scripted("shaky", &events_seen, [&](Loop* loop) {
              if (++runs < 3) return Fail(loop);
