--- a/src/include/ryefold/core/mirror/mirror.h
+++ b/src/include/ryefold/core/mirror/mirror.h
@@ -87,12 +87,12 @@
   std::chrono::milliseconds store_backoff{3000};
   std::chrono::milliseconds store_fallback_period{2000};
   /// A relay that replaces the store must provide a copy no older than
-  /// `max_fresh_copy_age` within this time. While the relay's own watch hangs,
-  /// it reports for up to three seconds that it follows the store; an instance
+  /// `fresh_age` within this time. While the relay's own watch hangs, it
+  /// reports for up to three seconds that it follows the store; an instance
   /// that relied on it would serve a stale configuration although it can reach
   /// the store.
   std::chrono::milliseconds relay_probation{500};
-  std::chrono::milliseconds max_fresh_copy_age{1500};
+  std::chrono::milliseconds fresh_age{1500};
 };
 
 /// How soon the next watch has to be sent.
@@ -211,7 +211,7 @@
   TimePoint store_not_before_;
   TimePoint store_failed_at_;
   /// The store is followed until then although the plan says otherwise.
-  TimePoint follow_store_until_;
+  TimePoint store_until_;
   TimePoint failing_since_;
   uint32_t failures_ = 0;
   TimePoint full_read_at_;
--- a/src/libcore/mirror/change_log.cc
+++ b/src/libcore/mirror/change_log.cc
@@ -51,9 +51,8 @@
 }
 
 void ChangeLog::RecordChange(const std::string& key, uint64_t at) {
-  const auto existing = recorded_at_.find(key);
-  if (existing != recorded_at_.end())
-    by_recorded_.erase({existing->second, key});
+  const auto found = recorded_at_.find(key);
+  if (found != recorded_at_.end()) by_recorded_.erase({found->second, key});
   recorded_at_[key] = at;
   by_recorded_.emplace(at, key);
 }
--- a/src/libcore/mirror/mirror.cc
+++ b/src/libcore/mirror/mirror.cc
@@ -34,8 +34,7 @@
 /// store while no relay answers.
 void Mirror::StartNextCall(TimePoint now) {
   due_ = TimePoint::max();
-  const bool should_follow_store =
-      plan_.follows_store || now < follow_store_until_;
+  const bool should_follow_store = plan_.follows_store || now < store_until_;
   const bool store_allowed = now >= store_not_before_;
   const std::string relay = listed_ ? ChooseRelay(now) : "";
   if (!relay.empty() && !(should_follow_store && store_allowed)) {
@@ -48,8 +47,7 @@
     due_ = store_not_before_;
     return;
   }
-  if (!plan_.follows_store)
-    follow_store_until_ = now + timing_.store_fallback_period;
+  if (!plan_.follows_store) store_until_ = now + timing_.store_fallback_period;
   // After a store failure a short watch goes first: it shows sooner than a
   // listing whether the store answers, brings the missed changes, and costs the
   // store less while all instances reconnect.
@@ -291,7 +289,7 @@
   const bool use_relay = has_relay && plan_.follows_store;
   store_not_before_ =
       now + (use_relay ? timing_.store_backoff : RetryBackoff());
-  follow_store_until_ = TimePoint();
+  store_until_ = TimePoint();
   if (failing_since_ == TimePoint()) failing_since_ = now;
 }
 
@@ -315,11 +313,10 @@
   CompareDigest(reading);
   // A copy that differs from the relay's is not confirmed by its answer.
   if (!needs_full_copy_) ConfirmCopy(sent_at_ - reading.age);
-  if (!plan_.follows_store || now - confirmed_at_ <= timing_.max_fresh_copy_age)
-    return;
-  const TimePoint probation_end =
+  if (!plan_.follows_store || now - confirmed_at_ <= timing_.fresh_age) return;
+  const TimePoint retry_at =
       std::max(now, store_failed_at_ + timing_.relay_probation);
-  store_not_before_ = std::min(store_not_before_, probation_end);
+  store_not_before_ = std::min(store_not_before_, retry_at);
 }
 
 void Mirror::OnRelayFailure(TimePoint now, ReadError error) {
@@ -339,7 +336,7 @@
       now + (lost ? timing_.lost_relay_backoff : timing_.stale_relay_backoff);
   // An unreachable relay takes long to detect, and the next relay may be behind
   // the same network partition, so the store is asked for missed changes.
-  if (lost) follow_store_until_ = now + timing_.store_fallback_period;
+  if (lost) store_until_ = now + timing_.store_fallback_period;
   // With no relay left all instances turn to the store, which may be down; the
   // backoff spreads their calls.
   if (ChooseRelay(now).empty()) store_not_before_ = now + RetryBackoff();
