--- a/src/include/ryefold/core/limits/allowance_ledger.h
+++ b/src/include/ryefold/core/limits/allowance_ledger.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// What this instance grants of the workspaces' limits.
+// Grants operations from the parts of the workspaces' limits that this instance
+// owns.
 
 #include <chrono>
 #include <cstdint>
@@ -16,76 +17,78 @@
 
 namespace ryefold::core::limits {
 
-/// A question for operations that may start.
+/// A request to an owner for permission to start operations.
 struct AllowanceRequest {
   std::string workspace;
   uint32_t part = 0;
   uint32_t wanted = 0;
-  /// The limit as the asking instance knows it, and by which configuration.
+  /// The limit in the requesting instance's configuration, and the version of
+  /// that configuration.
   workspace::RateLimit limit;
   uint64_t config_version = 0;
 };
 
-/// Has the request go by this instance's configuration where that is the newer.
+/// Replaces the limit in `request` by this instance's if this instance has the
+/// newer configuration.
 void UseNewerLimit(
     uint64_t config_version,
     const std::map<std::string, workspace::WorkspaceRef>& workspaces,
     AllowanceRequest* request);
 
 struct AllowanceAnswer {
-  /// The instance grants nothing of this part at present; another one may.
+  /// The instance does not own the part at present; another instance may.
   bool not_owner = false;
   uint32_t granted = 0;
-  /// When something was left ungranted: time until there is more.
+  /// Set if less than `wanted` was granted: time until the next token.
   std::chrono::milliseconds wait{0};
 };
 
-/// How long a copy of the store may be old for its holder to go on granting by
-/// it, and a new owner holds back so that the old one has stopped by then.
-/// Longer than an outage of the store should stop anybody, for which a part of
-/// a lost instance stays ungranted for as long.
-inline constexpr std::chrono::milliseconds kOwnershipTerm{60000};
+/// An owner stops granting when its copy of the table is older than this, and a
+/// new owner waits this long before it grants, so that the two never overlap.
+/// Long enough for grants to continue through a store outage, at the cost that
+/// parts of a lost instance stay ungranted for as long.
+inline constexpr std::chrono::milliseconds kOwnershipLease{60000};
 
-/// Token buckets of the parts that this instance owns. An instance owns a shard
-/// while the newest table that it can know of says so: see
-/// docs/design/shifted-work.md for why no two ever grant the same part.
+/// Holds the token buckets of the parts that this instance owns according to
+/// its copy of the table. docs/design/shifted-work.md explains why no two
+/// instances grant the same part at the same time.
 class AllowanceLedger {
  public:
   AllowanceLedger(TimePoint start, Granter self)
       : self_(std::move(self)), start_(start) {}
 
-  /// A copy of the table was learnt at `now`.
+  /// Replaces the table by the copy received at `now`.
   void SetTable(TimePoint now, const ShardTable& table);
-  /// The copy is known to be what the store held at `when`.
+  /// Records that the copy matched the store at `when`.
   void TableConfirmed(TimePoint when) { confirmed_at_ = when; }
 
-  /// Forgets workspaces that are not configured any more.
+  /// Discards the buckets of workspaces that are not in `workspaces`.
   void Retain(const std::map<std::string, workspace::WorkspaceRef>& workspaces);
 
   AllowanceAnswer Grant(TimePoint now, const AllowanceRequest& request);
-  /// Whether this instance grants the part at present.
+  /// Returns whether this instance may grant the part at `now`.
   bool Owns(TimePoint now, const std::string& workspace, uint32_t part) const;
 
  private:
-  struct Account {
+  struct PartState {
     TokenBucket bucket;
     uint64_t config_version = 0;
   };
   using PartKey = std::pair<std::string, uint32_t>;
 
-  void ForgetShard(size_t shard);
+  void DiscardShard(size_t shard);
 
   const Granter self_;
   const TimePoint start_;
   TimePoint confirmed_at_;
   struct Ownership {
     uint64_t assigned = 0;
-    /// It may grant from then on.
-    TimePoint from;
+    /// Time from which the owner may grant.
+    TimePoint start_at;
   };
-  /// By shard.
-  std::map<size_t, Ownership> owned_;
-  std::map<PartKey, Account> accounts_;
+  /// Keyed by shard number.
+  std::map<size_t, Ownership> owned_shards_;
+  std::map<PartKey, PartState> states_;
 };
 
 }  // namespace ryefold::core::limits
--- a/src/include/ryefold/core/limits/granted_limiter.h
+++ b/src/include/ryefold/core/limits/granted_limiter.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Admits operations by allowances that the owners of the limits' parts grant.
+// Admits operations with allowances that are requested from the owners of the
+// parts of a limit.
 
 #include <chrono>
 #include <cstdint>
@@ -19,28 +20,29 @@
 
 namespace ryefold::core::limits {
 
-/// Questions to other instances.
+/// Sends allowance requests to other instances.
 class AllowancePort {
  public:
   virtual ~AllowancePort() = default;
-  /// Leads to `GrantedLimiter::Answered`, at the latest at `deadline`, never
-  /// before the call has returned.
+  /// Sends a request. `GrantedLimiter::Answered` is called by `deadline`, but
+  /// never before this call returns.
   virtual void AskOwner(uint64_t call, const Granter& owner,
                         const AllowanceRequest& request,
                         TimePoint deadline) = 0;
 };
 
-/// What a workspace has asked for at this instance, since the start.
+/// Admission counts of a workspace at this instance since the process started.
 struct LimitUsage {
   uint64_t allowed = 0;
-  /// Every part had nothing left.
+  /// Refused operations of which at least one owner answered and none had
+  /// tokens left.
   uint64_t over_limit = 0;
-  /// No owner could be asked.
+  /// Refused operations of which no owner answered.
   uint64_t unanswered = 0;
 };
 
-/// Asks one owner after the other until one grants. Operations that come while
-/// a question is open join the next one.
+/// Requests allowances from one owner after another until one grants.
+/// Operations that arrive while a request is in flight wait for the next one.
 class GrantedLimiter : public OperationLimiter {
  public:
   GrantedLimiter(Granter self, uint64_t seed, AllowanceLedger* ledger,
@@ -48,7 +50,8 @@
                  EventSink* events);
 
   void SetTable(const ShardTable& table);
-  /// Puts a configuration in force; workspaces that it lacks are forgotten.
+  /// Applies a configuration and discards the state of workspaces that it
+  /// lacks.
   void SetConfiguration(
       uint64_t version,
       const std::map<std::string, workspace::WorkspaceRef>& workspaces);
@@ -57,33 +60,34 @@
                   OperationId operation) override;
   void Cancel(const std::string& workspace, OperationId operation) override;
 
-  /// Nothing: the owner did not answer in time.
+  /// Handles the answer to request `call`; nullopt if the owner did not answer
+  /// in time.
   void Answered(TimePoint now, uint64_t call,
                 const std::optional<AllowanceAnswer>& answer);
 
   std::map<std::string, LimitUsage> usage() const;
 
  private:
-  struct Line {
+  struct WorkspaceQueue {
     workspace::WorkspaceRef workspace;
     std::deque<OperationId> waiting;
-    /// Question that is open; 0: none.
+    /// Request in flight, or 0.
     uint64_t call = 0;
     uint32_t wanted = 0;
-    TimePoint asked_at;
-    Granter asked;
-    /// Parts in the order in which this instance asks for them, and how many
-    /// were tried since the last grant.
-    std::vector<uint32_t> order;
-    size_t tried = 0;
-    /// Parts that answered in this round that they have nothing left.
-    size_t dry = 0;
-    std::chrono::milliseconds least_wait{0};
-    /// Everything is refused at once until then.
+    TimePoint requested_at;
+    Granter requested_from;
+    /// Parts in the order in which this instance requests them, and the number
+    /// of parts tried since the last full grant.
+    std::vector<uint32_t> part_order;
+    size_t parts_tried = 0;
+    /// Parts whose owners had no tokens left in this round.
+    size_t parts_exhausted = 0;
+    std::chrono::milliseconds min_wait{0};
+    /// Operations are refused without a request until this time.
     TimePoint refuse_until;
-    /// Until when callers have been told to come back.
-    TimePoint promised;
-    TimePoint told_over_limit;
+    /// Latest retry time that a refused caller was given.
+    TimePoint latest_return;
+    TimePoint over_limit_logged_at;
     LimitUsage usage;
   };
   struct Decision {
@@ -92,37 +96,39 @@
   };
   using Decisions = std::vector<Decision>;
 
-  Line* LineOf(const workspace::WorkspaceRef& workspace);
-  std::vector<uint32_t> OrderFor(const std::string& workspace) const;
-  void Proceed(TimePoint now, Line* line, Decisions* decisions);
-  void Take(const AllowanceAnswer& answer, uint32_t wanted, Line* line,
-            Decisions* decisions);
-  void RefuseWaiting(TimePoint now, Line* line, Decisions* decisions);
-  LimitAnswer Refusal(TimePoint now, Line* line);
+  WorkspaceQueue* QueueOf(const workspace::WorkspaceRef& workspace);
+  std::vector<uint32_t> OrderParts(const std::string& workspace) const;
+  void RequestNextPart(TimePoint now, WorkspaceQueue* queue,
+                       Decisions* decisions);
+  void ApplyAnswer(const AllowanceAnswer& answer, uint32_t wanted,
+                   WorkspaceQueue* queue, Decisions* decisions);
+  void RefuseWaiting(TimePoint now, WorkspaceQueue* queue,
+                     Decisions* decisions);
+  LimitAnswer MakeRefusal(TimePoint now, WorkspaceQueue* queue);
   bool IsSuspected(TimePoint now, const Granter& owner,
                    const AllowanceRequest& request);
-  void Suspect(TimePoint now, const Line& line);
-  void Unsuspect(const Granter& owner);
-  void TellOverLimit(TimePoint now, Line* line);
-  AllowanceRequest RequestFor(const Line& line, uint32_t part) const;
-  void Tell(TimePoint now, const Decisions& decisions);
+  void MarkSuspected(TimePoint now, const WorkspaceQueue& queue);
+  void ClearSuspected(const Granter& owner);
+  void LogOverLimit(TimePoint now, WorkspaceQueue* queue);
+  AllowanceRequest RequestFor(const WorkspaceQueue& queue, uint32_t part) const;
+  void NotifyListener(TimePoint now, const Decisions& decisions);
 
   const Granter self_;
   AllowanceLedger* ledger_;
   AllowancePort* port_;
   LimitListener* listener_;
   EventSink* events_;
-  admission::ReturnPlan plan_;
+  admission::ReturnPlan return_plan_;
   ShardTable table_;
   uint64_t config_version_ = 0;
   uint64_t last_call_ = 0;
-  std::map<std::string, Line> lines_;
-  /// Workspace of each open question.
+  std::map<std::string, WorkspaceQueue> queues_;
+  /// Workspace of each request in flight.
   std::unordered_map<uint64_t, std::string> calls_;
-  /// Owners that did not answer and have not been heard since, and when each is
-  /// to be probed next. Nothing waits for them.
+  /// Owners that did not answer in time, with the time of their next probe.
+  /// Operations do not wait for them.
   std::map<Granter, TimePoint> suspected_;
-  /// Owner of each open probe.
+  /// Owner of each probe in flight.
   std::unordered_map<uint64_t, Granter> probes_;
 };
 
--- a/src/include/ryefold/core/limits/operation_limiter.h
+++ b/src/include/ryefold/core/limits/operation_limiter.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Whether an operation may start under the rate limit of its workspace, which
-// holds over all instances together.
+// Decides whether an operation may start under the rate limit of its workspace,
+// which applies to all instances together.
 
 #include <chrono>
 #include <cstdint>
@@ -11,24 +11,25 @@
 
 namespace ryefold::core::limits {
 
-/// Names an operation at the instance that its caller is connected to.
+/// Identifies an operation at the instance that its caller is connected to.
 using OperationId = uint64_t;
 
 enum class Verdict : uint8_t {
   kAllowed,
   kRefused,
-  kPending,  ///< `LimitListener` is told.
+  kPending,  ///< `LimitListener` receives the decision.
 };
 
 struct LimitAnswer {
   Verdict verdict = Verdict::kAllowed;
-  /// kRefused: when to come back.
+  /// kRefused: time after which the caller may retry.
   std::chrono::milliseconds retry_after{0};
-  /// kRefused: nobody could say whether the workspace is below its limit.
+  /// kRefused: no owner answered, so it is unknown whether the limit is
+  /// exceeded.
   bool unknown = false;
 };
 
-/// Told what became of operations that were pending.
+/// Receives the decisions on pending operations.
 class LimitListener {
  public:
   virtual ~LimitListener() = default;
@@ -37,14 +38,14 @@
                                 const LimitAnswer& answer) = 0;
 };
 
-/// Admits operations. Never calls its listener from within `Ask`.
+/// Admits operations. `Ask` never calls the listener before it returns.
 class OperationLimiter {
  public:
   virtual ~OperationLimiter() = default;
   virtual LimitAnswer Ask(TimePoint now,
                           const workspace::WorkspaceRef& workspace,
                           OperationId operation) = 0;
-  /// The operation does not wait any more.
+  /// Withdraws a pending operation.
   virtual void Cancel(const std::string& workspace, OperationId operation) = 0;
 };
 
--- a/src/include/ryefold/core/limits/shard_assigner.h
+++ b/src/include/ryefold/core/limits/shard_assigner.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Keeps the table of who grants which part: the decisions of the one instance
-// that writes it.
+// Assigns shards of the limits to instances. Used by the one instance that
+// writes the table.
 
 #include <chrono>
 #include <cstdint>
@@ -16,13 +16,14 @@
 
 class ShardAssigner {
  public:
-  /// All instances that there are.
+  /// Sets the registered instances.
   void SetInstances(TimePoint now, const std::vector<Granter>& instances);
-  /// The table as the store holds it; nothing when it holds none.
+  /// Sets the table read from the store; nullopt if the store holds none.
   void SetTable(TimePoint now, const std::optional<ShardTable>& table);
 
-  /// The table to be written in place of the known one, if that is due. Only
-  /// one instance may write, and only over the table that it knows.
+  /// Returns the table to write in place of the current one, or nullopt if no
+  /// change is due. Only one instance may write, and only in place of the table
+  /// passed to `SetTable`.
   std::optional<ShardTable> Due(TimePoint now) const;
 
  private:
@@ -31,10 +32,10 @@
   std::optional<ShardTable> table_;
   TimePoint table_since_;
   bool table_known_ = false;
-  /// Owners that no instance is, and since when.
+  /// Owners that are not registered, and since when.
   std::map<Granter, TimePoint> absent_since_;
 
-  void NoteAbsent(TimePoint now);
+  void UpdateAbsentOwners(TimePoint now);
 };
 
 }  // namespace ryefold::core::limits
--- a/src/include/ryefold/core/limits/shards.h
+++ b/src/include/ryefold/core/limits/shards.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Who grants which part of the workspaces' limits. The table lies in the
-// platform's store; every instance has a copy.
+// Assignment of the parts of the workspaces' limits to the instances that grant
+// them. The table is kept in the platform's store; every instance has a copy.
 
 #include <array>
 #include <cstddef>
@@ -16,17 +16,17 @@
 
 namespace ryefold::core::limits {
 
-/// Shards of all parts of all workspaces.
-inline constexpr size_t kShards = 256;
-/// Parts of one workspace's limit, each granted by another instance as a rule:
-/// the loss of one leaves the others'.
+/// Number of shards over which the parts of all workspaces' limits are hashed.
+inline constexpr size_t kShardCount = 256;
+/// Number of parts of each workspace's limit. Usually each part is granted by a
+/// different instance, so the loss of one instance leaves the other parts.
 inline constexpr size_t kParts = 4;
 
-/// The shard that a part of the workspace belongs to.
+/// Returns the shard that a part of the workspace's limit belongs to.
 size_t ShardOf(std::string_view workspace, size_t part);
 
-/// One process that may grant: the name says who is asked, the address tells
-/// two machines of one name apart.
+/// An instance that can own shards. Requests are addressed by name; the address
+/// distinguishes two processes with the same name.
 struct Granter {
   std::string instance;
   std::string address;
@@ -37,29 +37,30 @@
 
 struct Shard {
   Granter owner;
-  /// Number of the table in which it was given to this owner.
+  /// Number of the table that assigned the shard to this owner.
   uint64_t assigned = 0;
-  /// Whoever owned it before has stopped granting beyond doubt.
+  /// The previous owner has certainly stopped granting.
   bool settled = false;
 
   bool operator==(const Shard&) const = default;
 };
 
 struct ShardTable {
-  /// Counts the tables that there have been.
+  /// Increases by one with each reassignment.
   uint64_t number = 0;
   std::vector<Shard> shards;
 
   bool operator==(const ShardTable&) const = default;
 };
 
-/// The first table: nobody has granted anything before.
-ShardTable FirstTable(const std::vector<Granter>& instances);
+/// Returns the first table. Its shards are settled because no instance has
+/// granted before.
+ShardTable MakeFirstTable(const std::vector<Granter>& instances);
 
-/// Gives the shards of owners that `gone` names to the instances that own the
-/// least. Nothing when there is nobody to give them to.
-std::optional<ShardTable> Reassign(const ShardTable& table,
-                                   const std::set<Granter>& gone,
-                                   const std::vector<Granter>& instances);
+/// Reassigns the shards of the `lost` owners to the instances that own the
+/// fewest. Returns nullopt if no other instance is available.
+std::optional<ShardTable> ReassignShards(const ShardTable& table,
+                                         const std::set<Granter>& lost,
+                                         const std::vector<Granter>& instances);
 
 }  // namespace ryefold::core::limits
--- a/src/include/ryefold/core/limits/token_bucket.h
+++ b/src/include/ryefold/core/limits/token_bucket.h
@@ -9,27 +9,27 @@
 
 namespace ryefold::core::limits {
 
-/// Within any span of length t no more than `rate` x t + `most` tokens are
-/// taken, also over a change of the rate and when another bucket takes over:
-/// one that starts anew has nothing saved.
+/// Within any span of length t at most `rate` x t + `capacity` tokens are
+/// taken. This also holds across rate changes and when another bucket replaces
+/// this one, because a bucket starts empty.
 class TokenBucket {
  public:
-  explicit TokenBucket(TimePoint start) : filled_at_(start) {}
+  explicit TokenBucket(TimePoint start) : refilled_at_(start) {}
 
-  /// What the bucket holds beyond a smaller `most` is dropped.
-  void SetRate(TimePoint now, double rate, double most);
-  /// Takes up to `wanted` whole tokens.
+  /// Discards tokens beyond a smaller `capacity`.
+  void SetRate(TimePoint now, double rate, double capacity);
+  /// Takes up to `wanted` whole tokens and returns their number.
   uint32_t Take(TimePoint now, uint32_t wanted);
-  /// Time until one token is there, as far as it is foreseen.
-  std::chrono::milliseconds wait(TimePoint now) const;
+  /// Returns the time until one token is available, at most 5 s.
+  std::chrono::milliseconds WaitTime(TimePoint now) const;
 
  private:
-  void Fill(TimePoint now);
+  void Refill(TimePoint now);
 
   double rate_ = 0;
-  double most_ = 0;
+  double capacity_ = 0;
   double tokens_ = 0;
-  TimePoint filled_at_;
+  TimePoint refilled_at_;
 };
 
 }  // namespace ryefold::core::limits
--- a/src/include/ryefold/core/workspace/workspaces.h
+++ b/src/include/ryefold/core/workspace/workspaces.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Workspaces and the keys by which their callers are known.
+// Workspaces and the keys that identify their callers.
 
 #include <compare>
 #include <cstddef>
@@ -14,8 +14,8 @@
 
 namespace ryefold::core::workspace {
 
-/// What is kept of a caller's key: a part of its cryptographic hash. The key
-/// itself is never stored, logged or sent on.
+/// Part of the cryptographic hash of a caller's key. The key itself is never
+/// stored, logged or forwarded.
 struct KeyDigest {
   uint64_t high = 0;
   uint64_t low = 0;
@@ -23,30 +23,32 @@
   auto operator<=>(const KeyDigest&) const = default;  // NOLINT
 };
 
-/// Hash for containers: the digest is evenly spread already.
+/// Hash for containers. The digest is already uniformly distributed.
 struct KeyDigestHash {
   size_t operator()(const KeyDigest& digest) const { return digest.low; }
 };
 
-/// Short form of a digest for operators: eight hexadecimal digits.
+/// Returns the first eight hexadecimal digits of a digest, for display to
+/// operators.
 std::string Fingerprint(const KeyDigest& digest);
 
-/// Operations that a workspace may start, over all instances together.
+/// Limit of the operations that a workspace may start on all instances
+/// together.
 struct RateLimit {
-  /// A second.
+  /// Operations per second.
   double rate = 0;
-  /// At once, after a pause.
+  /// Operations that may start at once after an idle period.
   double burst = 0;
 
   bool operator==(const RateLimit&) const = default;
 };
 
-/// One workspace as configured.
+/// Configuration of one workspace.
 struct Workspace {
   std::string name;
-  /// 0 is served first.
+  /// Priority 0 is served first.
   uint32_t priority = 0;
-  /// Nothing: not limited.
+  /// nullopt if the workspace is not limited.
   std::optional<RateLimit> limit;
   std::vector<KeyDigest> keys;
 
@@ -57,12 +59,12 @@
 
 /// The workspaces of one configuration, by name.
 struct WorkspaceTable {
-  /// False where no workspace is configured: callers need no key then.
+  /// False if no workspace is configured; callers need no key then.
   bool keys_required = false;
   std::map<std::string, Workspace> workspaces;
 };
 
-/// Who a caller is.
+/// Result of the identification of a caller.
 struct Identity {
   /// The caller may be served.
   bool known = false;
@@ -73,20 +75,20 @@
 /// Looks workspaces up by key and by name.
 class Workspaces {
  public:
-  /// Puts a newer configuration in force. Workspaces that did not change keep
-  /// their reference. Returns whether any key was dropped or moved, or keys are
-  /// required from now on.
+  /// Applies a newer configuration. Workspaces that did not change keep their
+  /// reference. Returns true if any key was removed or moved to another
+  /// workspace, or if keys become required.
   bool Replace(const WorkspaceTable& table);
 
-  /// Who a caller is that gave this key. On a `public_route`, or where no keys
-  /// are required, everybody is let in and belongs to no workspace.
+  /// Identifies the caller that presented `key`. On a `public_route`, or if no
+  /// keys are required, every caller is accepted and belongs to no workspace.
   Identity Identify(bool public_route, const KeyDigest& key) const;
 
-  /// Whether the key still stands for the workspace of this name, or no key is
-  /// required.
+  /// Returns whether the key belongs to the workspace of this name, or no key
+  /// is required.
   bool StandsFor(const KeyDigest& key, const std::string& workspace) const;
 
-  /// Null when there is none of this name.
+  /// Returns null if no workspace has this name.
   WorkspaceRef Find(const std::string& name) const;
   bool keys_required() const { return keys_required_; }
   const std::map<std::string, WorkspaceRef>& all() const { return by_name_; }
--- a/src/libcore/limits/allowance_ledger.cc
+++ b/src/libcore/limits/allowance_ledger.cc
@@ -7,11 +7,13 @@
 
 using std::chrono::milliseconds;
 
-/// Kept back from the term by the owner, for clocks that run unevenly.
-constexpr milliseconds kClockReserve{1000};
-/// What the parts add up to beyond the configured rate and burst: operations
-/// spread unevenly over the parts, and one of them may be lost. Below what may
-/// be exceeded by enough for grants that are used a moment later.
+/// An owner stops this long before `kOwnershipLease` ends, to allow for clock
+/// drift.
+constexpr milliseconds kClockMargin{1000};
+/// The parts add up to more than the configured rate and burst, because
+/// operations spread unevenly over the parts and one part may be lost. The
+/// excess stays below the tolerated one to leave room for grants that are used
+/// later.
 constexpr double kRateFactor = 1.05;
 constexpr double kExtraBurst = 15;
 
@@ -33,40 +35,42 @@
   for (size_t i = 0; i < table.shards.size(); ++i) {
     const Shard& shard = table.shards[i];
     if (shard.owner != self_) continue;
-    TimePoint from = shard.settled ? now : now + kOwnershipTerm;
-    const auto known = owned_.find(i);
-    // It may have been another's in a table that was never seen here.
-    const bool held =
-        known != owned_.end() && known->second.assigned == shard.assigned;
-    if (held) from = std::min(known->second.from, from);
-    if (!held) ForgetShard(i);
-    owned[i] = {shard.assigned, from};
+    TimePoint start_at = shard.settled ? now : now + kOwnershipLease;
+    const auto known = owned_shards_.find(i);
+    // Another instance may have owned it in a table that this instance did not
+    // receive.
+    const bool still_owned = known != owned_shards_.end() &&
+                             known->second.assigned == shard.assigned;
+    if (still_owned) start_at = std::min(known->second.start_at, start_at);
+    if (!still_owned) DiscardShard(i);
+    owned[i] = {shard.assigned, start_at};
   }
-  owned_ = std::move(owned);
-  std::erase_if(accounts_, [this](const auto& entry) {
-    return owned_.count(ShardOf(entry.first.first, entry.first.second)) == 0;
+  owned_shards_ = std::move(owned);
+  std::erase_if(states_, [this](const auto& entry) {
+    return owned_shards_.count(
+               ShardOf(entry.first.first, entry.first.second)) == 0;
   });
 }
 
-/// What comes back starts with nothing saved.
-void AllowanceLedger::ForgetShard(size_t shard) {
-  std::erase_if(accounts_, [shard](const auto& entry) {
+/// A shard that is assigned here again starts with empty buckets.
+void AllowanceLedger::DiscardShard(size_t shard) {
+  std::erase_if(states_, [shard](const auto& entry) {
     return ShardOf(entry.first.first, entry.first.second) == shard;
   });
 }
 
 void AllowanceLedger::Retain(
     const std::map<std::string, workspace::WorkspaceRef>& workspaces) {
-  std::erase_if(accounts_, [&workspaces](const auto& entry) {
+  std::erase_if(states_, [&workspaces](const auto& entry) {
     return workspaces.count(entry.first.first) == 0;
   });
 }
 
 bool AllowanceLedger::Owns(TimePoint now, const std::string& workspace,
                            uint32_t part) const {
-  if (now - confirmed_at_ >= kOwnershipTerm - kClockReserve) return false;
-  const auto shard = owned_.find(ShardOf(workspace, part));
-  return shard != owned_.end() && now >= shard->second.from;
+  if (now - confirmed_at_ >= kOwnershipLease - kClockMargin) return false;
+  const auto shard = owned_shards_.find(ShardOf(workspace, part));
+  return shard != owned_shards_.end() && now >= shard->second.start_at;
 }
 
 AllowanceAnswer AllowanceLedger::Grant(TimePoint now,
@@ -76,19 +80,19 @@
     answer.not_owner = true;
     return answer;
   }
-  const TimePoint from =
-      owned_.at(ShardOf(request.workspace, request.part)).from;
-  const auto [found, added] =
-      accounts_.try_emplace({request.workspace, request.part},
-                            Account{TokenBucket(std::max(from, start_)), 0});
-  Account& account = found->second;
-  if (added || request.config_version > account.config_version) {
-    account.config_version = request.config_version;
-    account.bucket.SetRate(now, request.limit.rate * kRateFactor / kParts,
-                           (request.limit.burst + kExtraBurst) / kParts);
+  const TimePoint start_at =
+      owned_shards_.at(ShardOf(request.workspace, request.part)).start_at;
+  const auto [found, added] = states_.try_emplace(
+      {request.workspace, request.part},
+      PartState{TokenBucket(std::max(start_at, start_)), 0});
+  PartState& state = found->second;
+  if (added || request.config_version > state.config_version) {
+    state.config_version = request.config_version;
+    state.bucket.SetRate(now, request.limit.rate * kRateFactor / kParts,
+                         (request.limit.burst + kExtraBurst) / kParts);
   }
-  answer.granted = account.bucket.Take(now, request.wanted);
-  if (answer.granted < request.wanted) answer.wait = account.bucket.wait(now);
+  answer.granted = state.bucket.Take(now, request.wanted);
+  if (answer.granted < request.wanted) answer.wait = state.bucket.WaitTime(now);
   return answer;
 }
 
--- a/src/libcore/limits/shard_assigner.cc
+++ b/src/libcore/limits/shard_assigner.cc
@@ -10,13 +10,13 @@
 
 using std::chrono::milliseconds;
 
-/// A fleet that starts registers within this time; a table written sooner would
-/// name the first few only.
-constexpr milliseconds kFleetSettles{2000};
-/// An owner that is restarted is back by then.
-constexpr milliseconds kAbsence{15000};
-/// Beyond the term, until the former owners' stop is taken for certain.
-constexpr milliseconds kSettleReserve{2000};
+/// The instances of a starting fleet register within this time. A table written
+/// earlier would include only the first of them.
+constexpr milliseconds kRegistrationWindow{2000};
+/// A restarted owner registers again within this time.
+constexpr milliseconds kMaxOwnerAbsence{15000};
+/// Added to `kOwnershipLease` before the former owners count as stopped.
+constexpr milliseconds kSettleMargin{2000};
 
 }  // namespace
 
@@ -25,7 +25,7 @@
   if (instances == instances_) return;
   instances_ = instances;
   instances_since_ = now;
-  NoteAbsent(now);
+  UpdateAbsentOwners(now);
 }
 
 void ShardAssigner::SetTable(TimePoint now,
@@ -34,16 +34,16 @@
   table_known_ = true;
   table_ = table;
   table_since_ = now;
-  NoteAbsent(now);
+  UpdateAbsentOwners(now);
 }
 
-void ShardAssigner::NoteAbsent(TimePoint now) {
+void ShardAssigner::UpdateAbsentOwners(TimePoint now) {
   std::map<Granter, TimePoint> absent;
   if (table_.has_value()) {
     for (const Shard& shard : table_->shards) {
-      const bool here = std::find(instances_.begin(), instances_.end(),
-                                  shard.owner) != instances_.end();
-      if (here) continue;
+      const bool registered = std::find(instances_.begin(), instances_.end(),
+                                        shard.owner) != instances_.end();
+      if (registered) continue;
       const auto known = absent_since_.find(shard.owner);
       absent[shard.owner] = known == absent_since_.end() ? now : known->second;
     }
@@ -54,18 +54,18 @@
 std::optional<ShardTable> ShardAssigner::Due(TimePoint now) const {
   if (!table_known_ || instances_.empty()) return std::nullopt;
   if (!table_.has_value()) {
-    if (now - instances_since_ < kFleetSettles) return std::nullopt;
-    return FirstTable(instances_);
+    if (now - instances_since_ < kRegistrationWindow) return std::nullopt;
+    return MakeFirstTable(instances_);
   }
-  std::set<Granter> gone;
+  std::set<Granter> lost;
   for (const auto& [owner, since] : absent_since_) {
-    if (now - since >= kAbsence) gone.insert(owner);
+    if (now - since >= kMaxOwnerAbsence) lost.insert(owner);
   }
-  if (!gone.empty()) return Reassign(*table_, gone, instances_);
+  if (!lost.empty()) return ReassignShards(*table_, lost, instances_);
   const bool unsettled =
       std::any_of(table_->shards.begin(), table_->shards.end(),
                   [](const Shard& shard) { return !shard.settled; });
-  if (!unsettled || now - table_since_ < kOwnershipTerm + kSettleReserve) {
+  if (!unsettled || now - table_since_ < kOwnershipLease + kSettleMargin) {
     return std::nullopt;
   }
   ShardTable settled = *table_;
--- a/src/libcore/limits/shards.cc
+++ b/src/libcore/limits/shards.cc
@@ -8,26 +8,26 @@
 namespace ryefold::core::limits {
 
 size_t ShardOf(std::string_view workspace, size_t part) {
-  return XXH64(workspace.data(), workspace.size(), part) % kShards;
+  return XXH64(workspace.data(), workspace.size(), part) % kShardCount;
 }
 
-ShardTable FirstTable(const std::vector<Granter>& instances) {
+ShardTable MakeFirstTable(const std::vector<Granter>& instances) {
   ShardTable table;
   if (instances.empty()) return table;
   table.number = 1;
-  for (size_t i = 0; i < kShards; ++i) {
+  for (size_t i = 0; i < kShardCount; ++i) {
     table.shards.push_back(
         {instances[i % instances.size()], table.number, /*settled=*/true});
   }
   return table;
 }
 
-std::optional<ShardTable> Reassign(const ShardTable& table,
-                                   const std::set<Granter>& gone,
-                                   const std::vector<Granter>& instances) {
+std::optional<ShardTable> ReassignShards(
+    const ShardTable& table, const std::set<Granter>& lost,
+    const std::vector<Granter>& instances) {
   std::map<Granter, size_t> owned;
   for (const Granter& each : instances) {
-    if (gone.count(each) == 0) owned[each] = 0;
+    if (lost.count(each) == 0) owned[each] = 0;
   }
   if (owned.empty()) return std::nullopt;
   for (const Shard& shard : table.shards) {
@@ -37,7 +37,7 @@
   ShardTable next = table;
   ++next.number;
   for (Shard& shard : next.shards) {
-    if (gone.count(shard.owner) == 0) continue;
+    if (lost.count(shard.owner) == 0) continue;
     const auto least = std::min_element(
         owned.begin(), owned.end(),
         [](const auto& a, const auto& b) { return a.second < b.second; });
--- a/src/libcore/limits/token_bucket.cc
+++ b/src/libcore/limits/token_bucket.cc
@@ -8,46 +8,46 @@
 
 using std::chrono::milliseconds;
 
-/// Told when nothing is ever added.
-constexpr milliseconds kLongWait{5000};
+/// Upper bound of the reported wait, also used if the rate is 0.
+constexpr milliseconds kMaxWait{5000};
 
 }  // namespace
 
-void TokenBucket::Fill(TimePoint now) {
-  if (now <= filled_at_) return;
+void TokenBucket::Refill(TimePoint now) {
+  if (now <= refilled_at_) return;
   const double seconds =
-      std::chrono::duration<double>(now - filled_at_).count();
-  tokens_ = std::min(most_, tokens_ + rate_ * seconds);
-  filled_at_ = now;
+      std::chrono::duration<double>(now - refilled_at_).count();
+  tokens_ = std::min(capacity_, tokens_ + rate_ * seconds);
+  refilled_at_ = now;
 }
 
-void TokenBucket::SetRate(TimePoint now, double rate, double most) {
-  if (rate == rate_ && most == most_) return;
-  // What came in until now did so at the old rate; a bucket that has not had
-  // one takes its first from its start on.
-  if (rate_ > 0) Fill(now);
+void TokenBucket::SetRate(TimePoint now, double rate, double capacity) {
+  if (rate == rate_ && capacity == capacity_) return;
+  // Tokens up to now accrue at the old rate. The first rate applies from the
+  // start of the bucket.
+  if (rate_ > 0) Refill(now);
   rate_ = rate;
-  most_ = most;
-  tokens_ = std::min(tokens_, most_);
+  capacity_ = capacity;
+  tokens_ = std::min(tokens_, capacity_);
 }
 
 uint32_t TokenBucket::Take(TimePoint now, uint32_t wanted) {
-  Fill(now);
+  Refill(now);
   const auto whole = static_cast<uint32_t>(std::floor(tokens_));
   const uint32_t taken = std::min(whole, wanted);
   tokens_ -= taken;
   return taken;
 }
 
-milliseconds TokenBucket::wait(TimePoint now) const {
+milliseconds TokenBucket::WaitTime(TimePoint now) const {
   const double seconds =
-      std::chrono::duration<double>(now - filled_at_).count();
-  const double lacking = 1 - tokens_ - rate_ * seconds;
-  if (lacking <= 0) return milliseconds(0);
-  if (rate_ <= 0) return kLongWait;
+      std::chrono::duration<double>(now - refilled_at_).count();
+  const double missing = 1 - tokens_ - rate_ * seconds;
+  if (missing <= 0) return milliseconds(0);
+  if (rate_ <= 0) return kMaxWait;
   const auto needed = std::chrono::ceil<milliseconds>(
-      std::chrono::duration<double>(lacking / rate_));
-  return std::min(needed, kLongWait);
+      std::chrono::duration<double>(missing / rate_));
+  return std::min(needed, kMaxWait);
 }
 
 }  // namespace ryefold::core::limits
--- a/src/libcore/workspace/workspaces.cc
+++ b/src/libcore/workspace/workspaces.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::string_view kHexDigits = "0123456789abcdef";
-/// Digits of a fingerprint, each of four bits.
+/// Number of hexadecimal digits in a fingerprint.
 constexpr int kFingerprintDigits = 8;
 constexpr int kDigitBits = 4;
 constexpr int kWordBits = 64;
--- a/testsuite/limits_fleet/fleet_test.cc
+++ b/testsuite/limits_fleet/fleet_test.cc
@@ -1,5 +1,6 @@
-// The limits of workspaces over a whole fleet, under random faults: no window
-// holds more than the rule allows, and what is below a limit is not refused.
+// Rate limits of workspaces across a fleet under random faults. Checks that no
+// time window exceeds the limit, and that workspaces below their limit are not
+// refused.
 
 #include <gtest/gtest.h>
 
@@ -15,28 +16,28 @@
 namespace {
 
 constexpr uint64_t kFirstSeed = 20261203;
-/// In CI; by hand RYEFOLD_RUNS raises it.
+/// Default for CI; RYEFOLD_RUNS overrides it.
 constexpr uint64_t kRuns = 24;
 constexpr uint64_t kThreads = 4;
 constexpr double kLargeRate = 160;
 constexpr double kSmallRate = 5;
-/// What a workspace asks for as a rule, of its limit.
-constexpr double kUsual = 1 / 1.6;
+/// Usual demand of a workspace as a fraction of its limit.
+constexpr double kUsualLoad = 1 / 1.6;
 
-void Prepare(LimitFleet* fleet) {
+void SetUpLimits(LimitFleet* fleet) {
   fleet->SetLimit("large", kLargeRate, kLargeRate);
   fleet->SetLimit("medium", 20, 20);
   fleet->SetLimit("small", kSmallRate, kSmallRate);
   fleet->Run(milliseconds(14000));
 }
 
-void DemandUsual(LimitFleet* fleet, double times) {
-  fleet->SetDemand("large", kLargeRate * kUsual * times);
-  fleet->SetDemand("medium", 20 * kUsual * times);
-  fleet->SetDemand("small", kSmallRate * kUsual * times);
+void SetUsualDemand(LimitFleet* fleet, double factor) {
+  fleet->SetDemand("large", kLargeRate * kUsualLoad * factor);
+  fleet->SetDemand("medium", 20 * kUsualLoad * factor);
+  fleet->SetDemand("small", kSmallRate * kUsualLoad * factor);
 }
 
-LimitNode* Draw(LimitFleet* fleet) {
+LimitNode* PickNode(LimitFleet* fleet) {
   return fleet->node(fleet->random()() % fleet->size());
 }
 
@@ -47,27 +48,28 @@
   });
 }
 
-/// Some instances lose the store, while they go on serving and granting. Their
-/// entries lapse at some moment, also long before they know.
-void CutSomeFromStore(LimitFleet* fleet) {
+/// Disconnects some instances from the store while they continue to serve and
+/// grant. Their entries expire at a random time, possibly long before the
+/// instances detect it.
+void DisconnectSomeFromStore(LimitFleet* fleet) {
   for (size_t i = 0; i < fleet->size(); ++i) {
     LimitNode* node = fleet->node(i);
     if (fleet->random()() % 100 >= 45) continue;
-    node->cut_from_store = true;
+    node->disconnected_from_store = true;
     fleet->clock.After(milliseconds(fleet->random()() % 30000), [fleet, node] {
-      if (!node->cut_from_store) return;
-      fleet->store.listed.erase(node->self());
+      if (!node->disconnected_from_store) return;
+      fleet->store.registered.erase(node->self());
     });
     fleet->clock.After(milliseconds(20000 + fleet->random()() % 100000),
-                       [node] { node->cut_from_store = false; });
+                       [node] { node->disconnected_from_store = false; });
   }
 }
 
-void Fault(LimitFleet* fleet) {
+void InjectFault(LimitFleet* fleet) {
   std::mt19937_64& random = fleet->random();
   switch (random() % 8) {
     case 0:
-      RestartAfter(fleet, Draw(fleet), milliseconds(500 + random() % 4000));
+      RestartAfter(fleet, PickNode(fleet), milliseconds(500 + random() % 4000));
       break;
     case 1:
       for (size_t i = 0; i < fleet->size(); ++i) {
@@ -82,14 +84,14 @@
       break;
     case 3:
       for (int i = 0; i < 8; ++i) {
-        Draw(fleet)->frozen_until =
+        PickNode(fleet)->suspended_until =
             fleet->clock.now() + milliseconds(1000 + random() % 90000);
       }
       break;
     case 4:
-      fleet->Split(33 + random() % 20);
+      fleet->Partition(33 + random() % 20);
       fleet->clock.After(milliseconds(3000 + random() % 90000),
-                         [fleet] { fleet->Join(); });
+                         [fleet] { fleet->HealPartition(); });
       break;
     case 5:
       fleet->store.up = false;
@@ -97,109 +99,113 @@
                          [fleet] { fleet->store.up = true; });
       break;
     case 6: {
-      // One is lost for good, another comes in its place.
-      LimitNode* lost = Draw(fleet);
+      // One instance is lost permanently and another replaces it.
+      LimitNode* lost = PickNode(fleet);
       lost->Kill();
       fleet->clock.After(milliseconds(random() % 60000), [fleet, lost] {
-        if (!lost->up()) fleet->store.listed.erase(lost->self());
+        if (!lost->up()) fleet->store.registered.erase(lost->self());
       });
       fleet->AddNode()->Start();
       break;
     }
     default:
-      CutSomeFromStore(fleet);
+      DisconnectSomeFromStore(fleet);
       break;
   }
 }
 
-/// Plays one seed; the first broken window, empty if none.
-std::string Play(uint64_t seed, Breakage breakage) {
-  LimitFleet fleet(seed, seed % 2 == 0 ? 72 : 200, breakage);
-  Prepare(&fleet);
-  DemandUsual(&fleet, 4);
+/// Runs one seed. Returns the first violation, empty if there is none.
+std::string RunSeed(uint64_t seed, InjectedBug injected_bug) {
+  LimitFleet fleet(seed, seed % 2 == 0 ? 72 : 200, injected_bug);
+  SetUpLimits(&fleet);
+  SetUsualDemand(&fleet, 4);
   for (int step = 0; step < 7; ++step) {
-    Fault(&fleet);
+    InjectFault(&fleet);
     fleet.Run(milliseconds(2000 + fleet.random()() % 30000));
     if (step == 2) fleet.SetLimit("medium", 300, 100);
-    // Only a store that is in reach puts a lower limit in force.
+    // A lower limit is applied only if the store is reachable.
     if (step == 4 && fleet.random()() % 2 == 0) {
       fleet.SetLimit("medium", 300, 300);
     }
   }
-  return fleet.BrokenWindow(LimitRule());
+  return fleet.FindViolation(LimitRule());
 }
 
-/// Some instances are without the store for longer than any owner may go on,
-/// and are taken out of the list early.
-std::string PlayLongCut(uint64_t seed, Breakage breakage) {
-  LimitFleet fleet(seed, 72, breakage);
-  Prepare(&fleet);
-  DemandUsual(&fleet, 4);
+/// Disconnects some instances from the store for longer than an owner may grant
+/// without it, and removes them from the list early.
+std::string RunLongStoreOutage(uint64_t seed, InjectedBug injected_bug) {
+  LimitFleet fleet(seed, 72, injected_bug);
+  SetUpLimits(&fleet);
+  SetUsualDemand(&fleet, 4);
   for (size_t i = 0; i < fleet.size(); ++i) {
     LimitNode* node = fleet.node(i);
     if (fleet.random()() % 100 >= 45) continue;
-    node->cut_from_store = true;
+    node->disconnected_from_store = true;
     fleet.clock.After(milliseconds(fleet.random()() % 10000), [&fleet, node] {
-      fleet.store.listed.erase(node->self());
+      fleet.store.registered.erase(node->self());
     });
   }
   fleet.Run(milliseconds(130000));
-  return fleet.BrokenWindow(LimitRule());
+  return fleet.FindViolation(LimitRule());
 }
 
-/// One seed in three is a long cut.
-std::string PlayAny(uint64_t seed, Breakage breakage) {
-  return seed % 3 == 0 ? PlayLongCut(seed, breakage) : Play(seed, breakage);
+/// Every third seed runs the long store outage.
+std::string RunAnySeed(uint64_t seed, InjectedBug injected_bug) {
+  return seed % 3 == 0 ? RunLongStoreOutage(seed, injected_bug)
+                       : RunSeed(seed, injected_bug);
 }
 
-std::string PlayMany(uint64_t first, uint64_t runs, Breakage breakage) {
-  std::vector<std::string> broken(kThreads);
+std::string RunSeeds(uint64_t first, uint64_t runs, InjectedBug injected_bug) {
+  std::vector<std::string> violations(kThreads);
   std::vector<std::thread> threads;
   for (uint64_t thread = 0; thread < kThreads; ++thread) {
-    threads.emplace_back([thread, first, runs, breakage, &broken] {
-      for (uint64_t i = thread; i < runs && broken[thread].empty();
+    threads.emplace_back([thread, first, runs, injected_bug, &violations] {
+      for (uint64_t i = thread; i < runs && violations[thread].empty();
            i += kThreads) {
-        const std::string window = PlayAny(first + i, breakage);
+        const std::string window = RunAnySeed(first + i, injected_bug);
         if (window.empty()) continue;
-        broken[thread] = "seed " + std::to_string(first + i) + ": " + window;
+        violations[thread] =
+            "seed " + std::to_string(first + i) + ": " + window;
       }
     });
   }
   for (std::thread& each : threads) each.join();
-  for (const std::string& each : broken) {
+  for (const std::string& each : violations) {
     if (!each.empty()) return each;
   }
   return "";
 }
 
-// Instances are killed, suspended, cut off from each other or from the store,
-// added and replaced while a workspace sends several times its limit. More runs
-// in some window than the limit allows.
+// Guards against exceeding the limit in some window while instances are killed,
+// suspended, partitioned, cut off from the store, added and replaced, and a
+// workspace sends several times its limit.
 TEST(LimitsFleet, NeverRunMoreThanTheRuleAllows) {
   const uint64_t first = FromEnvironment("RYEFOLD_SEED", kFirstSeed);
   const uint64_t runs = FromEnvironment("RYEFOLD_RUNS", kRuns);
-  EXPECT_EQ(PlayMany(first, runs, Breakage::kNone), "");
+  EXPECT_EQ(RunSeeds(first, runs, InjectedBug::kNone), "");
 }
 
-// The oracle sees nothing: new owners that grant at once must show.
-TEST(LimitsFleet, ShowOwnersThatDoNotWait) {
-  EXPECT_NE(PlayMany(kFirstSeed, 40, Breakage::kNewOwnersDoNotWait), "");
+// Guards against an oracle that detects nothing: new owners that grant
+// immediately must be detected.
+TEST(LimitsFleet, DetectOwnersThatDoNotWait) {
+  EXPECT_NE(RunSeeds(kFirstSeed, 40, InjectedBug::kNewOwnersDoNotWait), "");
 }
 
-// The oracle sees nothing: owners that go on by an old table must show.
-TEST(LimitsFleet, ShowOwnersThatDoNotStop) {
-  EXPECT_NE(PlayMany(kFirstSeed, 40, Breakage::kOldOwnersDoNotStop), "");
+// Guards against an oracle that detects nothing: owners that continue to grant
+// with an old table must be detected.
+TEST(LimitsFleet, DetectOwnersThatDoNotStop) {
+  EXPECT_NE(RunSeeds(kFirstSeed, 40, InjectedBug::kOldOwnersDoNotStop), "");
 }
 
 class BelowLimit : public testing::TestWithParam<uint32_t> {
  protected:
-  BelowLimit() : fleet_(kFirstSeed, GetParam(), Breakage::kNone) {
-    Prepare(&fleet_);
-    DemandUsual(&fleet_, 1);
+  BelowLimit() : fleet_(kFirstSeed, GetParam(), InjectedBug::kNone) {
+    SetUpLimits(&fleet_);
+    SetUsualDemand(&fleet_, 1);
     fleet_.Run(milliseconds(3000));
-    fleet_.ForgetTally();
+    fleet_.ResetTally();
   }
-  double RefusedShare() {
+  double RefusedFraction() {
     double asked = 0;
     double refused = 0;
     for (const char* each : {"large", "medium", "small"}) {
@@ -212,21 +218,23 @@
   LimitFleet fleet_;
 };
 
-// A calm fleet refuses callers of workspaces that stay below their limits.
-TEST_P(BelowLimit, NothingIsRefusedOnACalmFleet) {
+// Guards against refusals of workspaces below their limits when there are no
+// faults.
+TEST_P(BelowLimit, NothingIsRefusedWithoutFaults) {
   fleet_.Run(milliseconds(60000));
-  EXPECT_EQ(RefusedShare(), 0);
+  EXPECT_EQ(RefusedFraction(), 0);
 }
 
-// The store is away for half a minute and everybody below a limit is refused.
-TEST_P(BelowLimit, NothingIsRefusedWhileTheStoreIsAway) {
+// Guards against refusals of workspaces below their limits during a store
+// outage of 30 s.
+TEST_P(BelowLimit, NothingIsRefusedDuringAStoreOutage) {
   fleet_.store.up = false;
   fleet_.Run(milliseconds(30000));
-  EXPECT_EQ(RefusedShare(), 0);
+  EXPECT_EQ(RefusedFraction(), 0);
 }
 
-// One instance is lost for good; what it granted is missing to a workspace
-// until the table is changed.
+// Guards against refusals when one instance is lost and its part of the limits
+// is unavailable until the table changes.
 TEST_P(BelowLimit, TheOtherPartsSufficeWhenOneInstanceIsLost) {
   for (size_t i = 0; i < fleet_.size(); i += 7) {
     fleet_.node(i)->Kill();
@@ -234,19 +242,19 @@
     fleet_.node(i)->Start();
     fleet_.Run(milliseconds(1500));
   }
-  EXPECT_LE(RefusedShare(), 0.005);
+  EXPECT_LE(RefusedFraction(), 0.005);
 }
 
-// All instances lose power at once. Nobody remembers what was admitted, and
-// nobody may be refused for longer than the buckets take to fill.
-TEST_P(BelowLimit, AFleetThatStartsAnewAdmitsAtOnce) {
+// Guards against long refusals after all instances restart with empty state:
+// workspaces may only be refused until the token buckets fill.
+TEST_P(BelowLimit, ARestartedFleetAdmitsSoon) {
   for (size_t i = 0; i < fleet_.size(); ++i) fleet_.node(i)->Kill();
   fleet_.Run(milliseconds(1000));
   for (size_t i = 0; i < fleet_.size(); ++i) fleet_.node(i)->Start();
   fleet_.Run(milliseconds(1000));
-  fleet_.ForgetTally();
+  fleet_.ResetTally();
   fleet_.Run(milliseconds(5000));
-  EXPECT_LE(RefusedShare(), 0.01);
+  EXPECT_LE(RefusedFraction(), 0.01);
 }
 
 INSTANTIATE_TEST_SUITE_P(Sizes, BelowLimit, testing::Values(8, 72, 200));
--- a/testsuite/limits_parts/parts_test.cc
+++ b/testsuite/limits_parts/parts_test.cc
@@ -1,4 +1,4 @@
-// The parts that keep limits, one by one.
+// Unit tests of the components that enforce limits.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -29,7 +29,7 @@
 ShardTable TableOf(const Granter& owner, uint64_t assigned, bool settled) {
   ShardTable table;
   table.number = assigned;
-  table.shards.assign(kShards, {owner, assigned, settled});
+  table.shards.assign(kShardCount, {owner, assigned, settled});
   return table;
 }
 
@@ -68,12 +68,12 @@
   }
 }
 
-TEST(TokenBucket, TellsWhenTheNextTokenComes) {
+TEST(TokenBucket, ReportsTheTimeToTheNextToken) {
   TokenBucket bucket(kStart);
   bucket.SetRate(kStart, 10, 5);
   EXPECT_EQ(bucket.Take(kStart, 1), 0U);
-  EXPECT_EQ(bucket.wait(kStart), milliseconds(100));
-  EXPECT_EQ(bucket.wait(kStart + milliseconds(250)), milliseconds(0));
+  EXPECT_EQ(bucket.WaitTime(kStart), milliseconds(100));
+  EXPECT_EQ(bucket.WaitTime(kStart + milliseconds(250)), milliseconds(0));
 }
 
 TEST(AllowanceLedger, GrantWhatTheirShardsAllow) {
@@ -82,36 +82,35 @@
   ledger.TableConfirmed(kStart);
   EXPECT_EQ(ledger.Grant(kStart, RequestFor(1)).granted, 0U);
   const TimePoint later = kStart + milliseconds(1000);
-  // A quarter of the rate, and a little more for operations that spread
-  // unevenly.
+  // A quarter of the rate plus the excess for operations that spread unevenly.
   EXPECT_EQ(ledger.Grant(later, RequestFor(1000)).granted, 103U);
 }
 
-// An owner that does not hear of the store any more grants what another one
-// grants as well by then.
+// Guards against two owners of a part when the former owner can no longer reach
+// the store.
 TEST(AllowanceLedger, StopWhenTheCopyOfTheTableIsOld) {
   AllowanceLedger ledger(kStart, Self());
   ledger.SetTable(kStart, TableOf(Self(), 1, true));
   ledger.TableConfirmed(kStart);
-  EXPECT_TRUE(ledger.Owns(kStart + kOwnershipTerm / 2, "w", 0));
-  EXPECT_FALSE(ledger.Owns(kStart + kOwnershipTerm, "w", 0));
-  EXPECT_TRUE(ledger.Grant(kStart + kOwnershipTerm, RequestFor(1)).not_owner);
+  EXPECT_TRUE(ledger.Owns(kStart + kOwnershipLease / 2, "w", 0));
+  EXPECT_FALSE(ledger.Owns(kStart + kOwnershipLease, "w", 0));
+  EXPECT_TRUE(ledger.Grant(kStart + kOwnershipLease, RequestFor(1)).not_owner);
 }
 
-// A new owner grants while the former one may still do so.
+// Guards against a new owner granting while the former one may still grant.
 TEST(AllowanceLedger, WaitUntilTheFormerOwnerHasStopped) {
   AllowanceLedger ledger(kStart, Self());
   ledger.SetTable(kStart, TableOf(Other(), 1, true));
   ledger.SetTable(kStart + milliseconds(5), TableOf(Self(), 2, false));
-  const TimePoint due = kStart + milliseconds(5) + kOwnershipTerm;
+  const TimePoint due = kStart + milliseconds(5) + kOwnershipLease;
   ledger.TableConfirmed(due);
   EXPECT_FALSE(ledger.Owns(due - milliseconds(1), "w", 0));
   EXPECT_TRUE(ledger.Owns(due, "w", 0));
   EXPECT_EQ(ledger.Grant(due, RequestFor(1000)).granted, 0U);
 }
 
-// A shard went to another instance and came back, and this one has seen only
-// the last of the three tables.
+// Guards against granting at once when a shard moved to another instance and
+// back, and this instance received only the last of the three tables.
 TEST(AllowanceLedger, WaitForAShardThatWasAnothersMeanwhile) {
   AllowanceLedger ledger(kStart, Self());
   ledger.SetTable(kStart, TableOf(Self(), 1, true));
@@ -121,8 +120,9 @@
   EXPECT_FALSE(ledger.Owns(kStart + milliseconds(20), "w", 0));
 }
 
-// A limit is lowered; an instance that has not heard of it asks by the old one.
-TEST(AllowanceLedger, GoByTheNewestLimitAskedFor) {
+// Guards against granting with the old limit when it was lowered and the
+// requesting instance still has the old configuration.
+TEST(AllowanceLedger, UseTheNewestRequestedLimit) {
   AllowanceLedger ledger(kStart, Self());
   ledger.SetTable(kStart, TableOf(Self(), 1, true));
   ledger.TableConfirmed(kStart);
@@ -133,8 +133,8 @@
   EXPECT_LE(ledger.Grant(later, RequestFor(1000)).granted, 5U);
 }
 
-/// Takes down what a limiter asks and decides; nobody answers.
-class LimiterPort : public AllowancePort, public LimitListener {
+/// Records requests and decisions of a limiter; requests stay unanswered.
+class RecordingPort : public AllowancePort, public LimitListener {
  public:
   void AskOwner(uint64_t call, const Granter& /*owner*/,
                 const AllowanceRequest& /*request*/,
@@ -161,10 +161,10 @@
   return limited;
 }
 
-// The table in the store cannot be read any more, while an operation waits for
-// an owner and others come: the process ends.
-TEST(GrantedLimiter, RefusesWhenTheTableIsGone) {
-  LimiterPort port;
+// Guards against a crash when the table in the store becomes unreadable while
+// an operation waits for an owner and others arrive.
+TEST(GrantedLimiter, RefusesWhenTheTableIsRemoved) {
+  RecordingPort port;
   AllowanceLedger ledger(kStart, Self());
   GrantedLimiter limiter(Self(), 1, &ledger, &port, &port, nullptr);
   limiter.SetTable(TableOf(Other(), 1, true));
@@ -181,10 +181,10 @@
   EXPECT_EQ(limiter.Ask(later, w, 2).verdict, Verdict::kRefused);
 }
 
-// Owners change while an operation waits for one of them: the others have to be
-// asked, not the ones of before.
-TEST(GrantedLimiter, GoesOnByANewTable) {
-  LimiterPort port;
+// Guards against requests to former owners when the table changes while an
+// operation waits for one of them.
+TEST(GrantedLimiter, ContinuesWithANewTable) {
+  RecordingPort port;
   AllowanceLedger ledger(kStart, Self());
   GrantedLimiter limiter(Self(), 1, &ledger, &port, &port, nullptr);
   limiter.SetTable(TableOf(Other(), 1, true));
@@ -209,15 +209,15 @@
   EXPECT_FALSE(assigner.Due(kStart + milliseconds(3000)).has_value());
   const auto table = assigner.Due(kStart + milliseconds(4000));
   ASSERT_TRUE(table.has_value());
-  EXPECT_EQ(table->shards.size(), kShards);
+  EXPECT_EQ(table->shards.size(), kShardCount);
   EXPECT_TRUE(table->shards.front().settled);
 }
 
-// An instance that is restarted loses its shards, and nobody grants them for as
-// long as new owners wait.
+// Guards against reassigning the shards of an instance that restarts, which
+// would leave them ungranted for as long as new owners wait.
 TEST(ShardAssigner, LeavesARestartedInstanceItsShards) {
   ShardAssigner assigner;
-  const ShardTable table = FirstTable({Self(), Other()});
+  const ShardTable table = MakeFirstTable({Self(), Other()});
   assigner.SetTable(kStart, table);
   assigner.SetInstances(kStart, {Self(), Other()});
   assigner.SetInstances(kStart + milliseconds(1), {Self()});
@@ -228,7 +228,7 @@
 
 TEST(ShardAssigner, ReplacesTheLostAndSettlesLater) {
   ShardAssigner assigner;
-  assigner.SetTable(kStart, FirstTable({Self(), Other()}));
+  assigner.SetTable(kStart, MakeFirstTable({Self(), Other()}));
   assigner.SetInstances(kStart, {Self(), Third()});
   const TimePoint due = kStart + milliseconds(15000);
   const auto table = assigner.Due(due);
@@ -238,16 +238,16 @@
     EXPECT_NE(shard.owner, Other());
     unsettled += shard.settled ? 0 : 1;
   }
-  EXPECT_EQ(unsettled, kShards / 2);
+  EXPECT_EQ(unsettled, kShardCount / 2);
   assigner.SetTable(due, table);
-  EXPECT_FALSE(assigner.Due(due + kOwnershipTerm).has_value());
-  const auto settled = assigner.Due(due + kOwnershipTerm + milliseconds(2000));
+  EXPECT_FALSE(assigner.Due(due + kOwnershipLease).has_value());
+  const auto settled = assigner.Due(due + kOwnershipLease + milliseconds(2000));
   ASSERT_TRUE(settled.has_value());
   EXPECT_TRUE(settled->shards.back().settled);
 }
 
 TEST(ShardStore, TablesComeBackAsWritten) {
-  ShardTable table = FirstTable({Self(), Other(), Third()});
+  ShardTable table = MakeFirstTable({Self(), Other(), Third()});
   table.shards[7].settled = false;
   const auto read =
       platform::DecodeShardTable(platform::EncodeShardTable(table));
@@ -269,11 +269,11 @@
   AllowanceAnswer answer;
   answer.granted = request.wanted;
   answer.wait = milliseconds(7);
-  const auto told =
+  const auto read_answer =
       wire::ReadAllowanceAnswer(wire::WriteAllowanceAnswer(answer));
-  RC_ASSERT(told.has_value());
-  RC_ASSERT(told->granted == answer.granted);
-  RC_ASSERT(told->wait == answer.wait);
+  RC_ASSERT(read_answer.has_value());
+  RC_ASSERT(read_answer->granted == answer.granted);
+  RC_ASSERT(read_answer->wait == answer.wait);
   const auto noise = *rc::gen::arbitrary<std::string>();
   wire::ReadAllowanceRequest(noise);
   wire::ReadAllowanceAnswer(noise);
--- a/testsuite/support/limits/limit_fleet.h
+++ b/testsuite/support/limits/limit_fleet.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Instances that keep the limits of workspaces together, in virtual time: their
-// store, the messages between them, callers, and the rule itself as the oracle.
+// Simulates instances that enforce the workspaces' limits together, in virtual
+// time: their store, messages and callers, with the limit rule as the oracle.
 
 #include <algorithm>
 #include <cmath>
@@ -33,35 +33,35 @@
 using core::workspace::Workspace;
 using core::workspace::WorkspaceRef;
 
-/// What the oracle allows beyond rate and burst, and in which window.
+/// Tolerance of the oracle beyond rate and burst, and its time window.
 struct LimitRule {
   milliseconds window{5000};
   double excess = 0.1;
   double slack = 20;
-  /// From the store's acknowledgement until a configuration is in force.
+  /// Time from the store's acknowledgement until a configuration applies.
   milliseconds in_force{5000};
 };
 
-/// Ways in which the fleet can be broken on purpose, for tests of the oracle.
-enum class Breakage : uint8_t {
+/// Deliberate defects, for tests of the oracle.
+enum class InjectedBug : uint8_t {
   kNone,
   kNewOwnersDoNotWait,
   kOldOwnersDoNotStop,
 };
 
-/// The store, as far as limits need it.
+/// The part of the store that limits use.
 struct LimitStore {
   std::optional<ShardTable> table;
   uint64_t revision = 0;
   uint64_t version = 1;
   std::map<std::string, WorkspaceRef> workspaces;
-  std::set<Granter> listed;
+  std::set<Granter> registered;
   bool up = true;
 };
 
 class LimitFleet;
 
-/// One instance.
+/// A simulated instance.
 class LimitNode : public core::limits::AllowancePort,
                   public core::limits::LimitListener {
  public:
@@ -69,19 +69,20 @@
       : fleet_(fleet), self_(std::move(self)) {}
 
   void Start();
-  /// Ends the process; what it knew is gone.
+  /// Ends the process and discards its state.
   void Kill() {
     up_ = false;
-    ++life_;
+    ++boot_;
   }
   bool up() const { return up_; }
   const Granter& self() const { return self_; }
-  /// Nothing is processed until then.
-  TimePoint frozen_until;
-  bool cut_from_store = false;
+  /// The process is suspended until this time.
+  TimePoint suspended_until;
+  bool disconnected_from_store = false;
 
-  /// Runs `work` once the process can, unless it ends before.
-  void Do(const std::function<void()>& work);
+  /// Runs `work` when the process is not suspended. Discards it if the process
+  /// ends first.
+  void RunOrDefer(const std::function<void()>& work);
   void Ask(const std::string& workspace, OperationId operation);
 
   void AskOwner(uint64_t call, const Granter& owner,
@@ -97,7 +98,7 @@
   LimitFleet* fleet_;
   const Granter self_;
   bool up_ = false;
-  uint64_t life_ = 0;
+  uint64_t boot_ = 0;
   uint64_t known_version_ = 0;
   uint64_t known_revision_ = 0;
   std::map<std::string, WorkspaceRef> workspaces_;
@@ -114,8 +115,8 @@
     uint64_t refused = 0;
   };
 
-  LimitFleet(uint64_t seed, uint32_t instances, Breakage breakage)
-      : breakage(breakage), random_(seed) {
+  LimitFleet(uint64_t seed, uint32_t instances, InjectedBug injected_bug)
+      : injected_bug(injected_bug), random_(seed) {
     for (uint32_t i = 0; i < instances; ++i) AddNode();
     for (const auto& node : nodes_) node->Start();
   }
@@ -128,12 +129,12 @@
     ++store.version;
     limits_[workspace].push_back({clock.now(), {rate, burst}});
   }
-  /// The workspace's callers ask `per_second` from now on, through part of the
-  /// instances.
+  /// Sets the rate at which the workspace's callers send operations, through
+  /// some of the instances.
   void SetDemand(const std::string& workspace, double per_second) {
     const bool started = demand_.count(workspace) > 0;
     demand_[workspace] = per_second;
-    if (!started) AskNext(workspace);
+    if (!started) ScheduleNextOperation(workspace);
   }
   LimitNode* AddNode() {
     const std::string number = std::to_string(nodes_.size());
@@ -152,20 +153,20 @@
     }
     return nullptr;
   }
-  /// Nodes of different sides do not reach each other.
-  void Split(uint32_t percent) {
+  /// Partitions the network; about `percent` of the nodes are on the far side.
+  void Partition(uint32_t percent) {
     for (const auto& node : nodes_) {
-      if (random_() % 100 < percent) far_side_.insert(node->self());
+      if (random_() % 100 < percent) far_side_nodes_.insert(node->self());
     }
   }
-  void Join() { far_side_.clear(); }
-  bool Reaches(const Granter& one, const Granter& other) const {
-    return far_side_.count(one) == far_side_.count(other);
+  void HealPartition() { far_side_nodes_.clear(); }
+  bool CanReach(const Granter& one, const Granter& other) const {
+    return far_side_nodes_.count(one) == far_side_nodes_.count(other);
   }
   std::mt19937_64& random() { return random_; }
   milliseconds Delay() { return milliseconds(1 + random_() % 3); }
 
-  void Allowed(OperationId operation) {
+  void RecordAllowed(OperationId operation) {
     const auto found = pending_.find(operation);
     if (found == pending_.end()) return;
     ++tally_[found->second.workspace].allowed;
@@ -174,30 +175,30 @@
         {found->second.sent, clock.now() + until_run});
     pending_.erase(found);
   }
-  void Refused(OperationId operation) {
+  void RecordRefused(OperationId operation) {
     const auto found = pending_.find(operation);
     if (found == pending_.end()) return;
     ++tally_[found->second.workspace].refused;
     pending_.erase(found);
   }
   const Tally& tally(const std::string& workspace) { return tally_[workspace]; }
-  void ForgetTally() { tally_.clear(); }
+  void ResetTally() { tally_.clear(); }
 
-  /// The first window in which more ran than the rule allows; empty if none.
-  std::string BrokenWindow(const LimitRule& rule) {
+  /// Returns the first window that exceeds the rule, empty if there is none.
+  std::string FindViolation(const LimitRule& rule) {
     for (auto& [workspace, runs] : runs_) {
       std::sort(runs.begin(), runs.end());
       for (size_t i = 0; i < runs.size(); ++i) {
         const TimePoint from = runs[i].first;
-        const double most = MostAllowed(workspace, from, rule);
+        const double max_count = MaxAllowed(workspace, from, rule);
         double count = 0;
         for (size_t j = i;
              j < runs.size() && runs[j].first <= from + rule.window; ++j) {
           count += runs[j].second <= from + rule.window ? 1 : 0;
         }
-        if (count > most) {
+        if (count > max_count) {
           return workspace + ": " + std::to_string(count) + " of " +
-                 std::to_string(most);
+                 std::to_string(max_count);
         }
       }
     }
@@ -206,7 +207,7 @@
 
   VirtualClock clock;
   LimitStore store;
-  const Breakage breakage;
+  const InjectedBug injected_bug;
 
  private:
   struct Pending {
@@ -214,39 +215,40 @@
     TimePoint sent;
   };
 
-  /// The largest of the limits that may bind a window from `from` on: a lower
-  /// one does so a window after it is in force.
-  double MostAllowed(const std::string& workspace, TimePoint from,
-                     const LimitRule& rule) {
-    double most = 0;
+  /// Returns the maximum for the window that starts at `from`: the largest
+  /// limit that may apply. A lowered limit binds one window after it applies.
+  double MaxAllowed(const std::string& workspace, TimePoint from,
+                    const LimitRule& rule) {
+    double max_count = 0;
     const auto& history = limits_.at(workspace);
     for (size_t i = 0; i < history.size(); ++i) {
-      const bool over =
+      const bool superseded =
           i + 1 < history.size() &&
           from >= history[i + 1].first + rule.in_force + rule.window;
-      if (over || history[i].first > from + rule.window) continue;
+      if (superseded || history[i].first > from + rule.window) continue;
       const RateLimit& limit = history[i].second;
       const double seconds = std::chrono::duration<double>(rule.window).count();
-      most = std::max(most,
-                      (limit.rate * seconds + limit.burst) * (1 + rule.excess) +
-                          rule.slack);
+      max_count = std::max(
+          max_count, (limit.rate * seconds + limit.burst) * (1 + rule.excess) +
+                         rule.slack);
     }
-    return most;
+    return max_count;
   }
 
-  void AskNext(const std::string& workspace) {
+  void ScheduleNextOperation(const std::string& workspace) {
     const double per_second = std::max(demand_[workspace], 0.1);
     std::exponential_distribution<double> pause(per_second);
     clock.At(clock.now() + std::chrono::duration_cast<TimePoint::duration>(
                                std::chrono::duration<double>(pause(random_))),
              [this, workspace] {
-               SendOne(workspace);
-               AskNext(workspace);
+               SendOperation(workspace);
+               ScheduleNextOperation(workspace);
              });
   }
 
-  /// Each workspace has its callers at a part of the instances, unevenly.
-  void SendOne(const std::string& workspace) {
+  /// Sends one operation. The callers of a workspace are spread unevenly over
+  /// some of the instances.
+  void SendOperation(const std::string& workspace) {
     const size_t spread = std::max<size_t>(nodes_.size() / 3, 1);
     const size_t first = std::hash<std::string>()(workspace);
     const size_t pick = std::min(random_() % spread, random_() % spread);
@@ -255,7 +257,7 @@
     ++tally_[workspace].asked;
     pending_[operation] = {workspace, clock.now()};
     clock.After(milliseconds(3), [target, workspace, operation] {
-      target->Do([target, workspace, operation] {
+      target->RunOrDefer([target, workspace, operation] {
         target->Ask(workspace, operation);
       });
     });
@@ -263,7 +265,7 @@
 
   std::mt19937_64 random_;
   std::vector<std::unique_ptr<LimitNode>> nodes_;
-  std::set<Granter> far_side_;
+  std::set<Granter> far_side_nodes_;
   std::map<std::string, double> demand_;
   std::map<std::string, std::vector<std::pair<TimePoint, RateLimit>>> limits_;
   std::map<OperationId, Pending> pending_;
@@ -275,7 +277,7 @@
 inline void LimitNode::Start() {
   const TimePoint now = fleet_->clock.now();
   up_ = true;
-  ++life_;
+  ++boot_;
   known_version_ = 0;
   known_revision_ = 0;
   workspaces_.clear();
@@ -287,11 +289,11 @@
   Tick();
 }
 
-inline void LimitNode::Do(const std::function<void()>& work) {
+inline void LimitNode::RunOrDefer(const std::function<void()>& work) {
   if (!up_) return;
-  if (frozen_until > fleet_->clock.now()) {
-    fleet_->clock.At(frozen_until, [this, life = life_, work] {
-      if (life == life_) Do(work);
+  if (suspended_until > fleet_->clock.now()) {
+    fleet_->clock.At(suspended_until, [this, boot = boot_, work] {
+      if (boot == boot_) RunOrDefer(work);
     });
     return;
   }
@@ -299,14 +301,14 @@
 }
 
 inline void LimitNode::Tick() {
-  Do([this] {
-    if (fleet_->store.up && !cut_from_store) ReadStore();
-    if (fleet_->breakage == Breakage::kOldOwnersDoNotStop) {
+  RunOrDefer([this] {
+    if (fleet_->store.up && !disconnected_from_store) ReadStore();
+    if (fleet_->injected_bug == InjectedBug::kOldOwnersDoNotStop) {
       ledger_->TableConfirmed(fleet_->clock.now());
     }
     fleet_->clock.After(milliseconds(900 + fleet_->random()() % 200),
-                        [this, life = life_] {
-                          if (life == life_) Tick();
+                        [this, boot = boot_] {
+                          if (boot == boot_) Tick();
                         });
   });
 }
@@ -314,7 +316,7 @@
 inline void LimitNode::ReadStore() {
   LimitStore& store = fleet_->store;
   const TimePoint now = fleet_->clock.now();
-  store.listed.insert(self_);
+  store.registered.insert(self_);
   if (store.version != known_version_) {
     known_version_ = store.version;
     workspaces_ = store.workspaces;
@@ -324,7 +326,7 @@
   if (store.revision != known_revision_) {
     known_revision_ = store.revision;
     ShardTable table = store.table.value_or(ShardTable());
-    if (fleet_->breakage == Breakage::kNewOwnersDoNotWait) {
+    if (fleet_->injected_bug == InjectedBug::kNewOwnersDoNotWait) {
       for (auto& shard : table.shards) shard.settled = true;
     }
     ledger_->SetTable(now, table);
@@ -332,7 +334,8 @@
   }
   ledger_->TableConfirmed(now);
   assigner_->SetTable(now, store.table);
-  assigner_->SetInstances(now, {store.listed.begin(), store.listed.end()});
+  assigner_->SetInstances(now,
+                          {store.registered.begin(), store.registered.end()});
   const auto due = assigner_->Due(now);
   if (!due.has_value()) return;
   store.table = due;
@@ -343,30 +346,30 @@
                            OperationId operation) {
   const auto found = workspaces_.find(workspace);
   if (found == workspaces_.end()) {
-    fleet_->Refused(operation);
+    fleet_->RecordRefused(operation);
     return;
   }
   const LimitAnswer answer =
       limiter_->Ask(fleet_->clock.now(), found->second, operation);
-  if (answer.verdict == Verdict::kAllowed) fleet_->Allowed(operation);
-  if (answer.verdict == Verdict::kRefused) fleet_->Refused(operation);
+  if (answer.verdict == Verdict::kAllowed) fleet_->RecordAllowed(operation);
+  if (answer.verdict == Verdict::kRefused) fleet_->RecordRefused(operation);
 }
 
 inline void LimitNode::AskOwner(uint64_t call, const Granter& owner,
                                 const AllowanceRequest& request,
                                 TimePoint deadline) {
   const auto answered = [this, call,
-                         life = life_](std::optional<AllowanceAnswer> answer) {
-    if (life != life_) return;
-    Do([this, call, answer] {
+                         boot = boot_](std::optional<AllowanceAnswer> answer) {
+    if (boot != boot_) return;
+    RunOrDefer([this, call, answer] {
       limiter_->Answered(fleet_->clock.now(), call, answer);
     });
   };
   fleet_->clock.At(deadline, [answered] { answered(std::nullopt); });
   LimitNode* target = fleet_->Find(owner);
-  if (target == nullptr || !fleet_->Reaches(self_, owner)) return;
+  if (target == nullptr || !fleet_->CanReach(self_, owner)) return;
   fleet_->clock.After(fleet_->Delay(), [this, target, request, answered] {
-    target->Do([this, target, request, answered] {
+    target->RunOrDefer([this, target, request, answered] {
       AllowanceRequest asked = request;
       core::limits::UseNewerLimit(target->known_version_, target->workspaces_,
                                   &asked);
@@ -380,13 +383,13 @@
 
 inline void LimitNode::OperationAllowed(TimePoint /*now*/,
                                         OperationId operation) {
-  fleet_->Allowed(operation);
+  fleet_->RecordAllowed(operation);
 }
 
 inline void LimitNode::OperationRefused(TimePoint /*now*/,
                                         OperationId operation,
                                         const LimitAnswer& /*answer*/) {
-  fleet_->Refused(operation);
+  fleet_->RecordRefused(operation);
 }
 
 }  // namespace ryefold::testsuite
--- a/testsuite/workspace_keys/workspaces_test.cc
+++ b/testsuite/workspace_keys/workspaces_test.cc
@@ -1,4 +1,4 @@
-// Who a key stands for, over changes of the configuration.
+// Identification of callers by key across configuration changes.
 
 #include "ryefold/core/workspace/workspaces.h"
 
@@ -11,14 +11,14 @@
 namespace ryefold::core::workspace {
 namespace {
 
-Workspace Make(const std::string& name, std::vector<KeyDigest> keys) {
+Workspace MakeWorkspace(const std::string& name, std::vector<KeyDigest> keys) {
   Workspace workspace;
   workspace.name = name;
   workspace.keys = std::move(keys);
   return workspace;
 }
 
-WorkspaceTable Table(const std::vector<Workspace>& workspaces) {
+WorkspaceTable MakeTable(const std::vector<Workspace>& workspaces) {
   WorkspaceTable table;
   table.keys_required = true;
   for (const Workspace& each : workspaces) table.workspaces[each.name] = each;
@@ -32,40 +32,44 @@
   EXPECT_EQ(identity.workspace, nullptr);
 }
 
-// A caller is let in under a key that nobody has configured.
+// Guards against accepting a caller whose key is not configured.
 TEST(Workspaces, RefuseAnUnknownKey) {
   Workspaces workspaces;
-  workspaces.Replace(Table({Make("w", {{1, 1}})}));
+  workspaces.Replace(MakeTable({MakeWorkspace("w", {{1, 1}})}));
   EXPECT_FALSE(workspaces.Identify(false, {1, 2}).known);
   EXPECT_FALSE(workspaces.Identify(false, {}).known);
   EXPECT_EQ(workspaces.Identify(false, {1, 1}).workspace->name, "w");
 }
 
-TEST(Workspaces, LetEverybodyInOnAPublicRoute) {
+TEST(Workspaces, AcceptAnyKeyOnAPublicRoute) {
   Workspaces workspaces;
-  workspaces.Replace(Table({Make("w", {{1, 1}})}));
+  workspaces.Replace(MakeTable({MakeWorkspace("w", {{1, 1}})}));
   EXPECT_TRUE(workspaces.Identify(true, {9, 9}).known);
   EXPECT_EQ(workspaces.Identify(true, {1, 1}).workspace, nullptr);
 }
 
-// A key is taken away, or moves to another workspace, unnoticed.
-TEST(Workspaces, TellWhetherAKeyWasDropped) {
+// Guards against a key that is removed or moved to another workspace while its
+// sessions continue because `Replace` does not report the change.
+TEST(Workspaces, ReportWhetherAKeyWasRemoved) {
   Workspaces workspaces;
-  EXPECT_TRUE(workspaces.Replace(Table({Make("w", {{1, 1}, {1, 2}})})));
-  EXPECT_FALSE(
-      workspaces.Replace(Table({Make("w", {{1, 1}, {1, 2}, {1, 3}})})));
-  EXPECT_TRUE(workspaces.Replace(Table({Make("w", {{1, 1}})})));
-  EXPECT_TRUE(workspaces.Replace(Table({Make("v", {{1, 1}})})));
-  EXPECT_TRUE(workspaces.Replace(Table({})));
+  EXPECT_TRUE(
+      workspaces.Replace(MakeTable({MakeWorkspace("w", {{1, 1}, {1, 2}})})));
+  EXPECT_FALSE(workspaces.Replace(
+      MakeTable({MakeWorkspace("w", {{1, 1}, {1, 2}, {1, 3}})})));
+  EXPECT_TRUE(workspaces.Replace(MakeTable({MakeWorkspace("w", {{1, 1}})})));
+  EXPECT_TRUE(workspaces.Replace(MakeTable({MakeWorkspace("v", {{1, 1}})})));
+  EXPECT_TRUE(workspaces.Replace(MakeTable({})));
   EXPECT_FALSE(workspaces.Identify(false, {1, 1}).known);
 }
 
-// A change of one workspace is taken for a change of all.
+// Guards against a change of one workspace being treated as a change of all.
 TEST(Workspaces, KeepReferencesOfWhatDidNotChange) {
   Workspaces workspaces;
-  workspaces.Replace(Table({Make("v", {{1, 1}}), Make("w", {{2, 2}})}));
+  workspaces.Replace(
+      MakeTable({MakeWorkspace("v", {{1, 1}}), MakeWorkspace("w", {{2, 2}})}));
   const WorkspaceRef before = workspaces.Find("v");
-  workspaces.Replace(Table({Make("v", {{1, 1}}), Make("w", {{3, 3}})}));
+  workspaces.Replace(
+      MakeTable({MakeWorkspace("v", {{1, 1}}), MakeWorkspace("w", {{3, 3}})}));
   EXPECT_EQ(workspaces.Find("v"), before);
 }
 
@@ -73,7 +77,7 @@
   EXPECT_EQ(Fingerprint({0x0123456789abcdefULL, 5}), "01234567");
 }
 
-RC_GTEST_PROP(Workspaces, AnswerLikeAListOfPairs, ()) {
+RC_GTEST_PROP(Workspaces, MatchAListOfKeysAndNames, ()) {
   const auto count = *rc::gen::inRange<uint64_t>(1, 60);
   std::map<uint64_t, std::string> owner;
   std::vector<Workspace> all;
@@ -84,10 +88,10 @@
              rc::gen::arbitrary<uint64_t>())) {
       if (owner.emplace(key, name).second) keys.push_back({key, ~key});
     }
-    all.push_back(Make(name, keys));
+    all.push_back(MakeWorkspace(name, keys));
   }
   Workspaces workspaces;
-  workspaces.Replace(Table(all));
+  workspaces.Replace(MakeTable(all));
   for (const auto& [key, name] : owner) {
     RC_ASSERT(workspaces.Identify(false, {key, ~key}).workspace->name == name);
     RC_ASSERT(!workspaces.Identify(false, {key, key}).known);
