--- a/testsuite/platform_directory/directory_test.cc
+++ b/testsuite/platform_directory/directory_test.cc
@@ -1,4 +1,5 @@
-// Entries of the store that another writer has left where databases report.
+// Decoding of store entries, including entries that other programs write below
+// the databases' prefix.
 
 #include "platform/directory.h"
 
@@ -14,14 +15,14 @@
 namespace ryefold::platform {
 namespace {
 
-constexpr const char* kSound =
+constexpr const char* kValidEntry =
     R"({"service":"g","address":"10.0.0.1:80","zone":"z","version":"v1",)"
     R"("slots":5,"state":"ready","cold_left_ms":0,"db_role":"replica",)"
     R"("sequence":4,"born":1764720000000})";
 
-/// Takes down what the directory tells and logs.
-class Listener : public core::session::DirectoryListener,
-                 public core::EventSink {
+/// Records what the directory reports and logs.
+class RecordingListener : public core::session::DirectoryListener,
+                          public core::EventSink {
  public:
   void OnRoutes(core::TimePoint /*now*/,
                 const core::session::RouteTable& table) override {
@@ -41,9 +42,9 @@
   std::vector<std::string> lines;
 };
 
-/// The sound entry with one value replaced.
-std::string Replaced(const std::string& value, const std::string& by) {
-  std::string text = kSound;
+/// Returns the valid entry with one value replaced.
+std::string ReplaceValue(const std::string& value, const std::string& by) {
+  std::string text = kValidEntry;
   return text.replace(text.find(":" + value) + 1, value.size(), by);
 }
 
@@ -63,20 +64,20 @@
     directory_.OnItems(items_, {{key, items_[key]}});
   }
 
-  Listener listener_;
+  RecordingListener listener_;
   Directory directory_{&listener_, &listener_};
   core::mirror::EntryMap items_;
   uint64_t revision_ = 0;
 };
 
-// Somebody else's program writes below the databases' prefix: members missing
-// or of another type, words that nobody knows, bytes that are no text. Callers
-// must not be sent there, and must go on being served by the others.
-TEST_F(DirectoryTest, ForeignEntriesNameNoDatabase) {
-  Put("servers/sound", kSound);
+// Guards against using databases from invalid entries of other programs:
+// missing members, wrong types, unknown values, or bytes that are not text.
+// Valid databases must stay in use.
+TEST_F(DirectoryTest, InvalidEntriesAreSkipped) {
+  Put("servers/sound", kValidEntry);
   std::string null_byte = "{\"service\":\"g";
   null_byte.push_back('\0');
-  const std::vector<std::string> foreign = {
+  const std::vector<std::string> invalid = {
       "",
       "null",
       "[]",
@@ -90,31 +91,31 @@
       R"({"service":"g","address":["a"],"state":"ready","db_role":"replica"})",
       R"({"service":"g","address":"a:1","state":"odd","db_role":"replica"})",
       R"({"service":"g","address":"a:1","state":"ready","db_role":"king"})",
-      Replaced("5", "\"many\""),
-      Replaced("1764720000000", "\"yesterday\"")};
-  for (size_t i = 0; i < foreign.size(); ++i) {
-    Put("servers/foreign-" + std::to_string(i), foreign[i]);
-    EXPECT_EQ(listener_.roster.size(), 1U) << foreign[i].substr(0, 80);
+      ReplaceValue("5", "\"many\""),
+      ReplaceValue("1764720000000", "\"yesterday\"")};
+  for (size_t i = 0; i < invalid.size(); ++i) {
+    Put("servers/foreign-" + std::to_string(i), invalid[i]);
+    EXPECT_EQ(listener_.roster.size(), 1U) << invalid[i].substr(0, 80);
   }
   EXPECT_EQ(listener_.roster.at("sound").group, "g");
-  EXPECT_EQ(listener_.lines.size(), foreign.size());
+  EXPECT_EQ(listener_.lines.size(), invalid.size());
   for (const std::string& line : listener_.lines) {
     EXPECT_LT(line.size(), 400U);
     EXPECT_EQ(line.find('\n'), std::string::npos);
   }
 }
 
-// The foreign entry stays, and databases report several times a second. The
-// log tells of it once, or nothing else could be found there.
-TEST_F(DirectoryTest, TellsOfAForeignEntryOnce) {
+// Guards against flooding the log: databases report several times a second, and
+// an invalid entry is decoded again each time.
+TEST_F(DirectoryTest, LogsAnInvalidEntryOnce) {
   Put("servers/foreign", "{}");
-  for (int i = 0; i < 50; ++i) Put("servers/sound", kSound);
+  for (int i = 0; i < 50; ++i) Put("servers/sound", kValidEntry);
   EXPECT_EQ(listener_.lines.size(), 1U);
   Put("servers/foreign", "{ }");
   EXPECT_EQ(listener_.lines.size(), 2U);
 }
 
-// A configuration that cannot be read leaves the one before in force.
+// Guards against replacing a valid configuration by an unreadable one.
 TEST_F(DirectoryTest, KeepsTheConfigurationThatItCouldRead) {
   Put("op/config", R"({"version":3,"routes":[],"services":[]})");
   Put("op/config", R"({"version":4,"routes":"none"})");
@@ -124,12 +125,12 @@
 
 TEST(Records, CarryTheStartOfADatabase) {
   wire::Findings findings;
-  const auto database = DecodeDatabase("i-1", kSound, &findings);
+  const auto database = DecodeDatabase("i-1", kValidEntry, &findings);
   EXPECT_TRUE(findings.empty());
   EXPECT_EQ(database.born.time_since_epoch().count(), 1764720000000);
 }
 
-constexpr const char* kConfigOfWorkspaces =
+constexpr const char* kConfigWithWorkspaces =
     R"({"version":7,"routes":[{"name":"r","host":"open","service":"g",)"
     R"("public":true},{"name":"s","host":"closed","service":"g"}],)"
     R"("services":[{"name":"g"}],"tenants":[{"name":"acme","priority":1,)"
@@ -138,7 +139,7 @@
 
 TEST(Records, CarryWorkspacesWithKeysAndLimits) {
   wire::Findings findings;
-  const auto table = DecodeRouteTable(kConfigOfWorkspaces, &findings);
+  const auto table = DecodeRouteTable(kConfigWithWorkspaces, &findings);
   ASSERT_TRUE(findings.empty());
   EXPECT_TRUE(table.routes.at("open").open_to_all);
   EXPECT_FALSE(table.routes.at("closed").open_to_all);
@@ -153,7 +154,8 @@
   EXPECT_FALSE(table.workspaces.workspaces.at("free").limit.has_value());
 }
 
-// Deployments that know no workspaces would refuse all their callers.
+// Guards against requiring keys, and so refusing all callers, where no
+// workspaces are configured.
 TEST(Records, NeedNoKeysWithoutWorkspaces) {
   wire::Findings findings;
   const auto table =
@@ -161,13 +163,13 @@
   EXPECT_FALSE(table.workspaces.keys_required);
 }
 
-// A key shows in a log line, where everybody who reads logs can take it.
+// Guards against disclosing callers' keys in the log.
 TEST(Records, LeaveNoKeyInTheLog) {
-  Listener listener;
+  RecordingListener listener;
   Directory directory(&listener, &listener);
-  std::string broken = kConfigOfWorkspaces;
+  std::string broken = kConfigWithWorkspaces;
   broken.replace(broken.find("163"), 3, "\"secret-of-acme\"");
-  for (const std::string& text : {std::string(kConfigOfWorkspaces), broken}) {
+  for (const std::string& text : {std::string(kConfigWithWorkspaces), broken}) {
     const core::mirror::EntryMap items = {
         {"op/config", MakeEntry("op/config", text, text.size())}};
     directory.OnItems(items, items);
@@ -178,18 +180,18 @@
   }
 }
 
-RC_GTEST_PROP(DirectoryProperty, NoEntryHarmsTheOthers,
+RC_GTEST_PROP(DirectoryProperty, AnInvalidEntryDoesNotAffectOthers,
               (const std::vector<std::pair<uint16_t, uint8_t>>& changes)) {
-  // A sound entry with some bytes changed at random, beside an untouched one.
-  std::string text = kSound;
+  // A valid entry with random bytes changed, next to an unchanged one.
+  std::string text = kValidEntry;
   for (const auto& [place, byte] : changes) {
     text[place % text.size()] = static_cast<char>(byte);
   }
-  Listener listener;
+  RecordingListener listener;
   Directory directory(&listener, &listener);
   const core::mirror::EntryMap items = {
       {"servers/a", MakeEntry("servers/a", text, 1)},
-      {"servers/b", MakeEntry("servers/b", kSound, 2)}};
+      {"servers/b", MakeEntry("servers/b", kValidEntry, 2)}};
   directory.OnItems(items, items);
   RC_ASSERT(listener.roster.count("b") == 1U);
   if (listener.roster.count("a") == 0) {
--- a/testsuite/platform_gateway/gateway_test.cc
+++ b/testsuite/platform_gateway/gateway_test.cc
@@ -1,4 +1,4 @@
-// The gateway's task against stand-ins for the platform, over loopback.
+// Runs the gateway's task against simulated platform services on loopback.
 
 #include <event2/event.h>
 #include <gtest/gtest.h>
@@ -37,7 +37,7 @@
   return text;
 }
 
-/// One caller on a socket.
+/// A caller's socket.
 class TestCaller : public platform::LineHandler {
  public:
   TestCaller(event_base* base, uint16_t port)
@@ -80,7 +80,8 @@
     settings::GatewaySettings settings;
     settings.name = "instance-1";
     settings.failure_domain = "a";
-    // Ports of its own: the task has no way to tell which free one it got.
+    // Ports are chosen here, because the task does not report a port that the
+    // system chose.
     settings.session_address = Address(session_port_);
     settings.ready_address = Address(ready_port_);
     settings.store_address = Address(store_.port());
@@ -93,7 +94,7 @@
     RunFor(milliseconds(400));
   }
   void TearDown() override { task_->Stop(); }
-  /// What is different when the task starts.
+  /// Changes the environment before the task starts.
   virtual void BeforeStart() {}
 
   static std::string Address(uint16_t port) {
@@ -116,7 +117,7 @@
     const size_t at = exchange.body().find("db-");
     wire::HttpReply reply;
     reply.status = databases_.Promote(exchange.body().substr(at, 4), token);
-    if (!mute_promotions_) exchange.Reply(reply);
+    if (!drop_promotion_replies_) exchange.Reply(reply);
   }
 
   bool RunUntil(const std::function<bool()>& done, milliseconds bound) {
@@ -131,7 +132,7 @@
     RunUntil([] { return false; }, span);
   }
 
-  std::unique_ptr<TestCaller> Caller(const std::string& route) {
+  std::unique_ptr<TestCaller> ConnectCaller(const std::string& route) {
     auto caller = std::make_unique<TestCaller>(loop_.base(), session_port_);
     caller->Send("START " + route + " u1\r\n");
     EXPECT_TRUE(
@@ -141,8 +142,9 @@
     return caller;
   }
 
-  /// The line that concludes the statement: COMPLETE or ERROR.
-  std::string Ask(TestCaller* caller, const std::string& text) {
+  /// Sends a statement and returns the line that concludes it: COMPLETE or
+  /// ERROR.
+  std::string RunStatement(TestCaller* caller, const std::string& text) {
     const std::string id = "q" + std::to_string(++last_query_);
     caller->Send("QUERY " + id + " " + text + "\r\n");
     std::string concluded;
@@ -160,7 +162,7 @@
     return concluded;
   }
   bool Succeeds(TestCaller* caller, const std::string& text) {
-    return Ask(caller, text).rfind("COMPLETE", 0) == 0;
+    return RunStatement(caller, text).rfind("COMPLETE", 0) == 0;
   }
 
   task::Loop loop_;
@@ -171,7 +173,7 @@
   uint16_t session_port_ = 0;
   uint16_t ready_port_ = 0;
   bool stopped_ = false;
-  bool mute_promotions_ = false;
+  bool drop_promotion_replies_ = false;
   uint64_t last_token_ = 0;
   int promotions_ = 0;
   int last_query_ = 0;
@@ -179,7 +181,7 @@
 };
 
 TEST_F(GatewayTest, ServesReadsWritesAndTransactions) {
-  const auto caller = Caller("records");
+  const auto caller = ConnectCaller("records");
   EXPECT_EQ(greeting_, "READY I -");
   EXPECT_TRUE(Succeeds(caller.get(), "WRITE k1 v1"));
   EXPECT_TRUE(Succeeds(caller.get(), "READ k1"));
@@ -189,21 +191,21 @@
   EXPECT_TRUE(Succeeds(caller.get(), "BEGIN"));
   EXPECT_TRUE(Succeeds(caller.get(), "WRITE k2 v2"));
   EXPECT_TRUE(Succeeds(caller.get(), "COMMIT"));
-  const auto session = Caller("renewals");
+  const auto session = ConnectCaller("renewals");
   EXPECT_TRUE(Succeeds(session.get(), "WRITE k3 v3"));
   EXPECT_TRUE(Succeeds(session.get(), "READ k3"));
 }
 
-TEST_F(GatewayTest, TellsCallersOfUnknownDatabases) {
-  Caller("nowhere");
+TEST_F(GatewayTest, RejectsUnknownRoutes) {
+  ConnectCaller("nowhere");
   EXPECT_EQ(greeting_, "ERROR NODB nowhere");
 }
 
-// Callers send bytes that are no messages: without an end, with a bare line
-// feed, with words that nobody knows, and one of a megabyte. Each loses its
-// own connection and nobody else notices.
-TEST_F(GatewayTest, ABadCallerHarmsOnlyItself) {
-  const auto good = Caller("records");
+// Guards against malformed input that affects other callers: an unknown
+// message, a bare line feed, a query before START, and a message of 2 MiB
+// without an end. Each must close only its own connection.
+TEST_F(GatewayTest, MalformedInputClosesOnlyItsConnection) {
+  const auto good = ConnectCaller("records");
   const std::string endless(size_t{1} << 21, 'x');
   for (const std::string& bytes :
        {std::string("GET / HTTP/1.1\r\n\r\n"), std::string("START x\n"),
@@ -215,9 +217,9 @@
   }
 }
 
-// A message arrives in pieces, and several arrive at once.
-TEST_F(GatewayTest, PutsSplitMessagesTogether) {
-  const auto caller = Caller("records");
+// Guards against mishandled messages that arrive in pieces or several at once.
+TEST_F(GatewayTest, AssemblesSplitMessages) {
+  const auto caller = ConnectCaller("records");
   caller->Send("QUERY q1 RE");
   RunFor(milliseconds(30));
   caller->Send("AD k1\r\nQUERY q2 READ k2\r\nQUERY q3 READ k3\r\n");
@@ -233,19 +235,19 @@
       milliseconds(2000)));
 }
 
-// A database ends in the middle of an answer. Reads are repeated elsewhere,
-// and callers notice a delay at most.
-TEST_F(GatewayTest, ADatabaseThatEndsInMidLineCostsAReadNothing) {
-  const auto caller = Caller("records");
+// Guards against failed reads when a database closes its connection in the
+// middle of a reply. The read must be retried on another database.
+TEST_F(GatewayTest, RetriesAReadWhenADatabaseClosesInMidLine) {
+  const auto caller = ConnectCaller("records");
   EXPECT_TRUE(Succeeds(caller.get(), "READ k1"));
   databases_.CutInMidLine();
   EXPECT_TRUE(Succeeds(caller.get(), "READ k1"));
 }
 
-// The primary dies. Writes fail until another database leads, which nobody but
-// ryefold orders; callers must be able to write again within seconds.
+// Guards against writes that keep failing after a crash of the primary: ryefold
+// must order a promotion, and writes must succeed within seconds.
 TEST_F(GatewayTest, OrdersAPromotionWhenThePrimaryDies) {
-  const auto caller = Caller("records");
+  const auto caller = ConnectCaller("records");
   EXPECT_TRUE(Succeeds(caller.get(), "WRITE k1 v1"));
   databases_.Crash("db-a");
   EXPECT_TRUE(RunUntil([&] { return Succeeds(caller.get(), "WRITE k2 v2"); },
@@ -254,11 +256,11 @@
   EXPECT_GE(promotions_, 1);
 }
 
-// The order to promote is carried out, and its answer is lost. A repetition
-// under the same token could be overtaken by the first order, seconds later;
-// so the duty is taken anew, with a higher token.
-TEST_F(GatewayTest, TakesAHigherTokenAfterAPromotionWithoutAnAnswer) {
-  mute_promotions_ = true;
+// Guards against repeating a promotion order under the same token after its
+// answer was lost. The first order could take effect seconds later and overtake
+// the repetition, so the duty is acquired again with a higher token.
+TEST_F(GatewayTest, AcquiresAHigherTokenAfterAnUnansweredPromotion) {
+  drop_promotion_replies_ = true;
   databases_.Crash("db-a");
   EXPECT_TRUE(RunUntil([&] { return promotions_ >= 1; }, milliseconds(5000)));
   const uint64_t first = last_token_;
@@ -269,16 +271,16 @@
         return !now.empty() && now != holder;
       },
       milliseconds(5000)));
-  mute_promotions_ = false;
-  const auto caller = Caller("records");
+  drop_promotion_replies_ = false;
+  const auto caller = ConnectCaller("records");
   EXPECT_TRUE(RunUntil([&] { return Succeeds(caller.get(), "WRITE k2 v2"); },
                        milliseconds(6000)));
   EXPECT_GE(last_token_, first);
 }
 
-// The store takes the holder's key away without telling. The instance must not
-// go on ordering under a token that another may have overtaken.
-TEST_F(GatewayTest, TakesTheDutyAnewWhenItsKeyIsGone) {
+// Guards against ordering promotions under an outdated token after the store
+// revoked the lease of the holder's key without notice.
+TEST_F(GatewayTest, ReacquiresTheDutyWhenItsKeyIsDeleted) {
   EXPECT_TRUE(RunUntil([&] { return store_.Has("ryefold/promotion/holder"); },
                        milliseconds(5000)));
   const std::string before = store_.Value("ryefold/promotion/holder");
@@ -291,36 +293,36 @@
       milliseconds(5000)));
 }
 
-TEST_F(GatewayTest, TakesConfigurationUpAndNeverBack) {
+TEST_F(GatewayTest, IgnoresOlderConfigurations) {
   store_.Put("op/config", Config(5, true));
   RunFor(milliseconds(700));
-  EXPECT_TRUE(Succeeds(Caller("added").get(), "READ k1"));
-  // An older version, as from a stale copy, changes nothing.
+  EXPECT_TRUE(Succeeds(ConnectCaller("added").get(), "READ k1"));
+  // An older version, such as one from a stale copy, must be ignored.
   store_.Put("op/config", Config(3, false));
   RunFor(milliseconds(700));
-  EXPECT_TRUE(Succeeds(Caller("added").get(), "READ k1"));
+  EXPECT_TRUE(Succeeds(ConnectCaller("added").get(), "READ k1"));
   store_.Put("op/config", Config(9, false));
   RunFor(milliseconds(700));
-  Caller("added");
+  ConnectCaller("added");
   EXPECT_EQ(greeting_, "ERROR NODB added");
 }
 
-// Watches hear nothing while the configuration changes, and then their history
-// is gone. The change must be found all the same.
-TEST_F(GatewayTest, FindsAChangeWhoseHistoryIsGone) {
+// Guards against missing a configuration change whose events were compacted
+// before the watch received them.
+TEST_F(GatewayTest, FindsAChangeWhoseHistoryIsCompacted) {
   store_.faults().forgetful = true;
   store_.Put("op/config", Config(5, true));
   RunFor(milliseconds(200));
   store_.faults().forgetful = false;
   store_.Put("other/key", "wakes the watches");
   RunFor(milliseconds(1200));
-  EXPECT_TRUE(Succeeds(Caller("added").get(), "READ k1"));
+  EXPECT_TRUE(Succeeds(ConnectCaller("added").get(), "READ k1"));
 }
 
-// The store is down for a while. Statements go on, and what changed meanwhile
-// is in force soon after its return.
+// Guards against failed statements during a store outage, and against missing a
+// change that was made during the outage.
 TEST_F(GatewayTest, ServesOnWhileTheStoreIsDown) {
-  const auto caller = Caller("records");
+  const auto caller = ConnectCaller("records");
   store_.faults().down = true;
   store_.Put("op/config", Config(5, true));
   for (int i = 0; i < 10; ++i) {
@@ -329,14 +331,15 @@
   }
   store_.faults().down = false;
   RunFor(milliseconds(1500));
-  EXPECT_TRUE(Succeeds(Caller("added").get(), "READ k1"));
+  EXPECT_TRUE(Succeeds(ConnectCaller("added").get(), "READ k1"));
 }
 
-// The instance is asked to stop. It finishes what is under way, closes idle
-// sessions so that their callers turn elsewhere, and ends in time.
+// Guards against an abrupt stop: open transactions finish, idle sessions are
+// closed so that callers reconnect elsewhere, and the task ends within its
+// grace period.
 TEST_F(GatewayTest, DrainsBeforeItStops) {
-  const auto idle = Caller("records");
-  const auto busy = Caller("records");
+  const auto idle = ConnectCaller("records");
+  const auto busy = ConnectCaller("records");
   EXPECT_TRUE(Succeeds(busy.get(), "BEGIN"));
   EXPECT_TRUE(Succeeds(busy.get(), "WRITE k1 v1"));
   raise(SIGTERM);
@@ -353,12 +356,12 @@
   }
 };
 
-// The fleet is large and the link slow: a listing of the store takes more than
-// a second. Given up too early it would be asked for over and over, and the
-// instance would never serve.
+// Guards against a timeout shorter than a listing of the store, which takes
+// more than a second for a large fleet on a slow link. The instance would list
+// again and again and never serve.
 TEST_F(SlowListingTest, ServesAfterAListingThatTakesLong) {
   RunFor(milliseconds(1500));
-  const auto caller = Caller("records");
+  const auto caller = ConnectCaller("records");
   EXPECT_EQ(greeting_, "READY I -");
   EXPECT_TRUE(Succeeds(caller.get(), "WRITE k1 v1"));
 }
@@ -373,13 +376,13 @@
   std::unique_ptr<wire::HttpServer> holder_;
 };
 
-// The port for callers is still taken when the process starts, as by a
-// connection that another process has opened from it. A process that gave up
-// at once would be restarted over and over; it waits until the port is free.
+// Guards against exiting when the port for callers is still in use at startup,
+// for example by an outgoing connection of another process. The process would
+// be restarted repeatedly; it must wait for the port.
 TEST_F(TakenPortTest, ServesOnceItsPortIsFree) {
   holder_.reset();
   RunFor(milliseconds(600));
-  const auto caller = Caller("records");
+  const auto caller = ConnectCaller("records");
   EXPECT_TRUE(Succeeds(caller.get(), "WRITE k1 v1"));
 }
 
@@ -392,12 +395,13 @@
   }
 };
 
-// All instances restart while the store has lost the databases' entries; these
-// come back one by one, among other changes. Callers are refused until an
-// instance has heard of them, so it must hear of each soon.
+// Guards against a long outage when all instances restart after the store lost
+// the databases' entries. The entries return one by one among other changes,
+// and callers are refused until an instance receives them.
 TEST_F(LapsedDatabasesTest, ServesSoonAfterTheEntriesAreBack) {
-  const auto caller = Caller("records");
-  EXPECT_EQ(Ask(caller.get(), "WRITE k1 v1").rfind("ERROR BUSY", 0), 0U);
+  const auto caller = ConnectCaller("records");
+  EXPECT_EQ(RunStatement(caller.get(), "WRITE k1 v1").rfind("ERROR BUSY", 0),
+            0U);
   store_.Put("other/key", "a change that wakes the watch");
   RunFor(milliseconds(50));
   databases_.Register();
--- a/testsuite/platform_lines/lines_test.cc
+++ b/testsuite/platform_lines/lines_test.cc
@@ -23,7 +23,7 @@
   return DecodeCallerLine("QUERY id1 " + text).statement.kind;
 }
 
-TEST(CallerLines, AreToldApart) {
+TEST(CallerLines, AreClassified) {
   EXPECT_EQ(KindOf("BEGIN"), StatementKind::kBegin);
   EXPECT_EQ(KindOf("BEGIN READ"), StatementKind::kBeginRead);
   EXPECT_EQ(KindOf("COMMIT"), StatementKind::kCommit);
@@ -36,7 +36,7 @@
   EXPECT_EQ(KindOf("CLOSE s1"), StatementKind::kDeallocate);
 }
 
-TEST(CallerLines, KeepTextAndTakeFieldsApart) {
+TEST(CallerLines, AreSplitIntoFields) {
   const CallerLine set = DecodeCallerLine("QUERY id1 SET tz a b  c");
   EXPECT_EQ(set.statement_id, "id1");
   EXPECT_EQ(set.statement.name, "tz");
@@ -49,8 +49,6 @@
   EXPECT_EQ(DecodeCallerLine("START records u1").route, "records");
 }
 
-// A caller sends half a message, or words that nobody knows. It must be told
-// so; a guess could run something that it never asked for.
 TEST(CallerLines, CarryTheDigestOfAKey) {
   const CallerLine line = DecodeCallerLine("START records some-key");
   EXPECT_EQ(line.route, "records");
@@ -58,7 +56,8 @@
   EXPECT_NE(line.key, DecodeCallerLine("START records other-key").key);
 }
 
-// A database is told the key, or the proxy's name in a workspace's place.
+// Guards against sending a caller's key to a database. START names the
+// workspace, or the proxy if there is none.
 TEST(BackendCalls, NameTheWorkspaceTheyAreMadeFor) {
   core::session::Database database;
   database.group = "g";
@@ -69,13 +68,15 @@
   EXPECT_EQ(out, "START g acme i-1\r\nSTART g ryefold i-1\r\n");
 }
 
-TEST(CallerLines, AreToldOfUnknownKeysAndLimits) {
-  EXPECT_EQ(ErrorWord(core::session::ErrorCode::kUnknownKey), "NOAUTH");
-  EXPECT_EQ(ErrorWord(core::session::ErrorCode::kOverLimit), "BUSY");
+TEST(CallerLines, ReceiveCodesOfUnknownKeysAndLimits) {
+  EXPECT_EQ(ErrorCodeName(core::session::ErrorCode::kUnknownKey), "NOAUTH");
+  EXPECT_EQ(ErrorCodeName(core::session::ErrorCode::kOverLimit), "BUSY");
   EXPECT_EQ(DecodeErrorCode("BUSY"), core::session::ErrorCode::kBusy);
 }
 
-TEST(CallerLines, WhatIsNotUnderstoodIsSaidToBe) {
+// Guards against guessing the meaning of incomplete or unknown messages, which
+// could run a statement that the caller did not send.
+TEST(CallerLines, MalformedOnesAreRejected) {
   for (const char* line :
        {"", " ", "QUERY", "QUERY id1x", "START", "HELLO u"}) {
     const CallerLine decoded = DecodeCallerLine(line);
@@ -91,9 +92,9 @@
   }
 }
 
-// Statements of the proxy's own carry no id. A caller that used the mark for
-// that could make its statement look like one of them.
-TEST(CallerLines, RefuseTheIdOfOwnStatements) {
+// Guards against a caller that sends the reserved id of the proxy's own
+// statements, which have no id.
+TEST(CallerLines, RejectTheReservedStatementId) {
   EXPECT_EQ(DecodeCallerLine("QUERY - READ a").verb, CallerVerb::kUnreadable);
 }
 
@@ -111,7 +112,7 @@
   EXPECT_EQ(out, "QUERY - STATUS\r\n");
 }
 
-TEST(Replies, ArePutTogetherFromLines) {
+TEST(Replies, AreAssembledFromLines) {
   ReplyDecoder decoder;
   EXPECT_EQ(decoder.Feed("ROW qh zk", false), ReplyDecoder::Result::kMore);
   EXPECT_EQ(decoder.Feed("COMPLETE 7.1f3", false), ReplyDecoder::Result::kMore);
@@ -124,7 +125,7 @@
   EXPECT_EQ(reply.position, (LogPosition{3, 1209}));
 }
 
-TEST(Replies, CarryAStatusWhenOneWasAskedFor) {
+TEST(Replies, CarryARequestedStatus) {
   ReplyDecoder decoder;
   decoder.Feed("ROW replica 3 3.1209 0 12 2 17", true);
   decoder.Feed("COMPLETE -", true);
@@ -136,9 +137,9 @@
   EXPECT_EQ(reply.status->connections, 17U);
 }
 
-// An answer that ends before its conclusion, or goes on behind it, belongs to
-// no statement. Taken for one, it would hand a caller somebody else's rows.
-TEST(Replies, OutOfOrderSpoilTheConnection) {
+// Guards against delivering rows to the wrong caller: a reply that ends early
+// or continues after its end belongs to no statement.
+TEST(Replies, OutOfOrderLinesAreMalformed) {
   ReplyDecoder early;
   EXPECT_EQ(early.Feed("READY I 1.1", false),
             ReplyDecoder::Result::kUnreadable);
@@ -149,7 +150,7 @@
   EXPECT_EQ(strange.Feed("WHATEVER", false), ReplyDecoder::Result::kUnreadable);
 }
 
-RC_GTEST_PROP(LinesProperty, NoLineIsMisreadOrHarmful,
+RC_GTEST_PROP(LinesProperty, ArbitraryLinesAreHandled,
               (const std::string& line)) {
   const CallerLine decoded = DecodeCallerLine(line);
   if (decoded.verb == CallerVerb::kQuery) {
@@ -162,7 +163,7 @@
   DecodePosition(line);
 }
 
-RC_GTEST_PROP(LinesProperty, RepliesSurviveTheWire, ()) {
+RC_GTEST_PROP(LinesProperty, RepliesRoundTrip, ()) {
   Reply reply;
   const auto word =
       rc::gen::container<std::string>(rc::gen::inRange<char>('a', 'z'));
@@ -208,7 +209,8 @@
   EXPECT_EQ(table.transaction_idle, std::chrono::milliseconds(1234));
 }
 
-// A configuration of which half is missing would drop routes that callers use.
+// Guards against accepting an incomplete configuration, which would drop routes
+// that callers use.
 TEST(Records, IncompleteOnesAreFindings) {
   for (const char* text : {"", "[]", "{", R"({"routes":[]})",
                            R"({"version":1,"routes":[{"host":"h"}]})"}) {
