--- a/src/include/ryefold/core/limits/allowance_ledger.h
+++ b/src/include/ryefold/core/limits/allowance_ledger.h
@@ -54,7 +54,7 @@
 /// instances grant the same part at the same time.
 class AllowanceLedger {
  public:
-  AllowanceLedger(TimePoint start, Granter self)
+  AllowanceLedger(TimePoint start, ShardOwner self)
       : self_(std::move(self)), start_(start) {}
 
   /// Replaces the table by the copy received at `now`.
@@ -78,7 +78,7 @@
 
   void DiscardShard(size_t shard);
 
-  const Granter self_;
+  const ShardOwner self_;
   const TimePoint start_;
   TimePoint confirmed_at_;
   struct Ownership {
--- a/src/include/ryefold/core/limits/granted_limiter.h
+++ b/src/include/ryefold/core/limits/granted_limiter.h
@@ -24,11 +24,11 @@
 class AllowancePort {
  public:
   virtual ~AllowancePort() = default;
-  /// Sends a request. `GrantedLimiter::Answered` is called by `deadline`, but
-  /// never before this call returns.
-  virtual void AskOwner(uint64_t call, const Granter& owner,
-                        const AllowanceRequest& request,
-                        TimePoint deadline) = 0;
+  /// Sends a request. `GrantedLimiter::AllowanceAnswered` is called by
+  /// `deadline`, but never before this call returns.
+  virtual void RequestAllowance(uint64_t call, const ShardOwner& owner,
+                                const AllowanceRequest& request,
+                                TimePoint deadline) = 0;
 };
 
 /// Admission counts of a workspace at this instance since the process started.
@@ -45,7 +45,7 @@
 /// Operations that arrive while a request is in flight wait for the next one.
 class GrantedLimiter : public OperationLimiter {
  public:
-  GrantedLimiter(Granter self, uint64_t seed, AllowanceLedger* ledger,
+  GrantedLimiter(ShardOwner self, uint64_t seed, AllowanceLedger* ledger,
                  AllowancePort* port, LimitListener* listener,
                  EventSink* events);
 
@@ -56,14 +56,15 @@
       uint64_t version,
       const std::map<std::string, workspace::WorkspaceRef>& workspaces);
 
-  LimitAnswer Ask(TimePoint now, const workspace::WorkspaceRef& workspace,
-                  OperationId operation) override;
+  LimitAnswer RequestAdmission(TimePoint now,
+                               const workspace::WorkspaceRef& workspace,
+                               OperationId operation) override;
   void Cancel(const std::string& workspace, OperationId operation) override;
 
   /// Handles the answer to request `call`; nullopt if the owner did not answer
   /// in time.
-  void Answered(TimePoint now, uint64_t call,
-                const std::optional<AllowanceAnswer>& answer);
+  void AllowanceAnswered(TimePoint now, uint64_t call,
+                         const std::optional<AllowanceAnswer>& answer);
 
   std::map<std::string, LimitUsage> usage() const;
 
@@ -75,7 +76,7 @@
     uint64_t call = 0;
     uint32_t wanted = 0;
     TimePoint requested_at;
-    Granter requested_from;
+    ShardOwner requested_from;
     /// Parts in the order in which this instance requests them, and the number
     /// of parts tried since the last full grant.
     std::vector<uint32_t> part_order;
@@ -105,15 +106,15 @@
   void RefuseWaiting(TimePoint now, WorkspaceQueue* queue,
                      Decisions* decisions);
   LimitAnswer MakeRefusal(TimePoint now, WorkspaceQueue* queue);
-  bool IsSuspected(TimePoint now, const Granter& owner,
+  bool IsSuspected(TimePoint now, const ShardOwner& owner,
                    const AllowanceRequest& request);
   void MarkSuspected(TimePoint now, const WorkspaceQueue& queue);
-  void ClearSuspected(const Granter& owner);
+  void ClearSuspected(const ShardOwner& owner);
   void LogOverLimit(TimePoint now, WorkspaceQueue* queue);
   AllowanceRequest RequestFor(const WorkspaceQueue& queue, uint32_t part) const;
   void NotifyListener(TimePoint now, const Decisions& decisions);
 
-  const Granter self_;
+  const ShardOwner self_;
   AllowanceLedger* ledger_;
   AllowancePort* port_;
   LimitListener* listener_;
@@ -127,9 +128,9 @@
   std::unordered_map<uint64_t, std::string> calls_;
   /// Owners that did not answer in time, with the time of their next probe.
   /// Operations do not wait for them.
-  std::map<Granter, TimePoint> suspected_;
+  std::map<ShardOwner, TimePoint> suspected_;
   /// Owner of each probe in flight.
-  std::unordered_map<uint64_t, Granter> probes_;
+  std::unordered_map<uint64_t, ShardOwner> probes_;
 };
 
 }  // namespace ryefold::core::limits
--- a/src/include/ryefold/core/limits/operation_limiter.h
+++ b/src/include/ryefold/core/limits/operation_limiter.h
@@ -38,13 +38,14 @@
                                 const LimitAnswer& answer) = 0;
 };
 
-/// Admits operations. `Ask` never calls the listener before it returns.
+/// Admits operations. `RequestAdmission` never calls the listener before it
+/// returns.
 class OperationLimiter {
  public:
   virtual ~OperationLimiter() = default;
-  virtual LimitAnswer Ask(TimePoint now,
-                          const workspace::WorkspaceRef& workspace,
-                          OperationId operation) = 0;
+  virtual LimitAnswer RequestAdmission(TimePoint now,
+                                       const workspace::WorkspaceRef& workspace,
+                                       OperationId operation) = 0;
   /// Withdraws a pending operation.
   virtual void Cancel(const std::string& workspace, OperationId operation) = 0;
 };
--- a/src/include/ryefold/core/limits/shard_assigner.h
+++ b/src/include/ryefold/core/limits/shard_assigner.h
@@ -17,23 +17,23 @@
 class ShardAssigner {
  public:
   /// Sets the registered instances.
-  void SetInstances(TimePoint now, const std::vector<Granter>& instances);
+  void SetInstances(TimePoint now, const std::vector<ShardOwner>& instances);
   /// Sets the table read from the store; nullopt if the store holds none.
   void SetTable(TimePoint now, const std::optional<ShardTable>& table);
 
   /// Returns the table to write in place of the current one, or nullopt if no
   /// change is due. Only one instance may write, and only in place of the table
   /// passed to `SetTable`.
-  std::optional<ShardTable> Due(TimePoint now) const;
+  std::optional<ShardTable> NextTable(TimePoint now) const;
 
  private:
-  std::vector<Granter> instances_;
+  std::vector<ShardOwner> instances_;
   TimePoint instances_since_;
   std::optional<ShardTable> table_;
   TimePoint table_since_;
   bool table_known_ = false;
   /// Owners that are not registered, and since when.
-  std::map<Granter, TimePoint> absent_since_;
+  std::map<ShardOwner, TimePoint> absent_since_;
 
   void UpdateAbsentOwners(TimePoint now);
 };
--- a/src/include/ryefold/core/limits/shards.h
+++ b/src/include/ryefold/core/limits/shards.h
@@ -20,23 +20,23 @@
 inline constexpr size_t kShardCount = 256;
 /// Number of parts of each workspace's limit. Usually each part is granted by a
 /// different instance, so the loss of one instance leaves the other parts.
-inline constexpr size_t kParts = 4;
+inline constexpr size_t kPartsPerLimit = 4;
 
 /// Returns the shard that a part of the workspace's limit belongs to.
 size_t ShardOf(std::string_view workspace, size_t part);
 
 /// An instance that can own shards. Requests are addressed by name; the address
 /// distinguishes two processes with the same name.
-struct Granter {
+struct ShardOwner {
   std::string instance;
   std::string address;
   std::string failure_domain;
 
-  auto operator<=>(const Granter&) const = default;  // NOLINT
+  auto operator<=>(const ShardOwner&) const = default;  // NOLINT
 };
 
 struct Shard {
-  Granter owner;
+  ShardOwner owner;
   /// Number of the table that assigned the shard to this owner.
   uint64_t assigned = 0;
   /// The previous owner has certainly stopped granting.
@@ -55,12 +55,12 @@
 
 /// Returns the first table. Its shards are settled because no instance has
 /// granted before.
-ShardTable MakeFirstTable(const std::vector<Granter>& instances);
+ShardTable MakeFirstTable(const std::vector<ShardOwner>& instances);
 
 /// Reassigns the shards of the `lost` owners to the instances that own the
 /// fewest. Returns nullopt if no other instance is available.
-std::optional<ShardTable> ReassignShards(const ShardTable& table,
-                                         const std::set<Granter>& lost,
-                                         const std::vector<Granter>& instances);
+std::optional<ShardTable> ReassignShards(
+    const ShardTable& table, const std::set<ShardOwner>& lost,
+    const std::vector<ShardOwner>& instances);
 
 }  // namespace ryefold::core::limits
--- a/src/include/ryefold/core/workspace/workspaces.h
+++ b/src/include/ryefold/core/workspace/workspaces.h
@@ -67,7 +67,7 @@
 /// Result of the identification of a caller.
 struct Identity {
   /// The caller may be served.
-  bool known = false;
+  bool accepted = false;
   /// Null for a caller that belongs to no workspace.
   WorkspaceRef workspace;
 };
@@ -86,7 +86,7 @@
 
   /// Returns whether the key belongs to the workspace of this name, or no key
   /// is required.
-  bool StandsFor(const KeyDigest& key, const std::string& workspace) const;
+  bool KeyBelongsTo(const KeyDigest& key, const std::string& workspace) const;
 
   /// Returns null if no workspace has this name.
   WorkspaceRef Find(const std::string& name) const;
--- a/src/libcore/limits/allowance_ledger.cc
+++ b/src/libcore/limits/allowance_ledger.cc
@@ -88,8 +88,8 @@
   PartState& state = found->second;
   if (added || request.config_version > state.config_version) {
     state.config_version = request.config_version;
-    state.bucket.SetRate(now, request.limit.rate * kRateFactor / kParts,
-                         (request.limit.burst + kExtraBurst) / kParts);
+    state.bucket.SetRate(now, request.limit.rate * kRateFactor / kPartsPerLimit,
+                         (request.limit.burst + kExtraBurst) / kPartsPerLimit);
   }
   answer.granted = state.bucket.Take(now, request.wanted);
   if (answer.granted < request.wanted) answer.wait = state.bucket.WaitTime(now);
--- a/src/libcore/limits/granted_limiter.cc
+++ b/src/libcore/limits/granted_limiter.cc
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-GrantedLimiter::GrantedLimiter(Granter self, uint64_t seed,
+GrantedLimiter::GrantedLimiter(ShardOwner self, uint64_t seed,
                                AllowanceLedger* ledger, AllowancePort* port,
                                LimitListener* listener, EventSink* events)
     : self_(std::move(self)),
@@ -80,9 +80,10 @@
     const std::string& workspace) const {
   std::vector<uint32_t> part_order;
   if (table_.shards.empty()) return part_order;
-  for (uint32_t part = 0; part < kParts; ++part) part_order.push_back(part);
+  for (uint32_t part = 0; part < kPartsPerLimit; ++part)
+    part_order.push_back(part);
   const auto rank = [this, &workspace](uint32_t part) {
-    const Granter& owner = table_.shards[ShardOf(workspace, part)].owner;
+    const ShardOwner& owner = table_.shards[ShardOf(workspace, part)].owner;
     return std::make_tuple(
         owner != self_, owner.failure_domain != self_.failure_domain,
         XXH64(self_.instance.data(), self_.instance.size(), part));
@@ -92,9 +93,9 @@
   return part_order;
 }
 
-LimitAnswer GrantedLimiter::Ask(TimePoint now,
-                                const workspace::WorkspaceRef& workspace,
-                                OperationId operation) {
+LimitAnswer GrantedLimiter::RequestAdmission(
+    TimePoint now, const workspace::WorkspaceRef& workspace,
+    OperationId operation) {
   if (workspace == nullptr || !workspace->limit.has_value()) return {};
   WorkspaceQueue* queue = QueueOf(workspace);
   if (now < queue->refuse_until) return MakeRefusal(now, queue);
@@ -135,7 +136,7 @@
   while (!queue->waiting.empty() &&
          queue->parts_tried < queue->part_order.size()) {
     const uint32_t part = queue->part_order[queue->parts_tried++];
-    const Granter owner =
+    const ShardOwner owner =
         table_.shards[ShardOf(queue->workspace->name, part)].owner;
     const AllowanceRequest request = RequestFor(*queue, part);
     if (owner == self_) {
@@ -149,7 +150,7 @@
     queue->requested_at = now;
     queue->requested_from = owner;
     calls_[queue->call] = request.workspace;
-    port_->AskOwner(queue->call, owner, request, now + kAnswerTimeout);
+    port_->RequestAllowance(queue->call, owner, request, now + kAnswerTimeout);
     return;
   }
   if (!queue->waiting.empty()) RefuseWaiting(now, queue, decisions);
@@ -159,7 +160,7 @@
 /// Sends a probe if one is due. Only the request that leads to the suspicion
 /// waits for the timeout; afterwards probes detect that the owner answers
 /// again.
-bool GrantedLimiter::IsSuspected(TimePoint now, const Granter& owner,
+bool GrantedLimiter::IsSuspected(TimePoint now, const ShardOwner& owner,
                                  const AllowanceRequest& request) {
   const auto found = suspected_.find(owner);
   if (found == suspected_.end()) return false;
@@ -168,7 +169,7 @@
   AllowanceRequest probe = request;
   probe.wanted = 0;
   probes_[++last_call_] = owner;
-  port_->AskOwner(last_call_, owner, probe, now + kAnswerTimeout);
+  port_->RequestAllowance(last_call_, owner, probe, now + kAnswerTimeout);
   return true;
 }
 
@@ -183,7 +184,7 @@
       .Add("after", now - queue.requested_at);
 }
 
-void GrantedLimiter::ClearSuspected(const Granter& owner) {
+void GrantedLimiter::ClearSuspected(const ShardOwner& owner) {
   if (suspected_.erase(owner) == 0) return;
   Event(events_, EventWeight::kState, "limit_owner_heard")
       .Add("owner", owner.instance);
@@ -244,8 +245,9 @@
       .Add("config_version", config_version_);
 }
 
-void GrantedLimiter::Answered(TimePoint now, uint64_t call,
-                              const std::optional<AllowanceAnswer>& answer) {
+void GrantedLimiter::AllowanceAnswered(
+    TimePoint now, uint64_t call,
+    const std::optional<AllowanceAnswer>& answer) {
   const auto probe = probes_.extract(call);
   if (!probe.empty()) {
     if (answer.has_value()) ClearSuspected(probe.mapped());
--- a/src/libcore/limits/shard_assigner.cc
+++ b/src/libcore/limits/shard_assigner.cc
@@ -21,7 +21,7 @@
 }  // namespace
 
 void ShardAssigner::SetInstances(TimePoint now,
-                                 const std::vector<Granter>& instances) {
+                                 const std::vector<ShardOwner>& instances) {
   if (instances == instances_) return;
   instances_ = instances;
   instances_since_ = now;
@@ -38,7 +38,7 @@
 }
 
 void ShardAssigner::UpdateAbsentOwners(TimePoint now) {
-  std::map<Granter, TimePoint> absent;
+  std::map<ShardOwner, TimePoint> absent;
   if (table_.has_value()) {
     for (const Shard& shard : table_->shards) {
       const bool registered = std::find(instances_.begin(), instances_.end(),
@@ -51,13 +51,13 @@
   absent_since_ = std::move(absent);
 }
 
-std::optional<ShardTable> ShardAssigner::Due(TimePoint now) const {
+std::optional<ShardTable> ShardAssigner::NextTable(TimePoint now) const {
   if (!table_known_ || instances_.empty()) return std::nullopt;
   if (!table_.has_value()) {
     if (now - instances_since_ < kRegistrationWindow) return std::nullopt;
     return MakeFirstTable(instances_);
   }
-  std::set<Granter> lost;
+  std::set<ShardOwner> lost;
   for (const auto& [owner, since] : absent_since_) {
     if (now - since >= kMaxOwnerAbsence) lost.insert(owner);
   }
--- a/src/libcore/limits/shards.cc
+++ b/src/libcore/limits/shards.cc
@@ -11,7 +11,7 @@
   return XXH64(workspace.data(), workspace.size(), part) % kShardCount;
 }
 
-ShardTable MakeFirstTable(const std::vector<Granter>& instances) {
+ShardTable MakeFirstTable(const std::vector<ShardOwner>& instances) {
   ShardTable table;
   if (instances.empty()) return table;
   table.number = 1;
@@ -23,10 +23,10 @@
 }
 
 std::optional<ShardTable> ReassignShards(
-    const ShardTable& table, const std::set<Granter>& lost,
-    const std::vector<Granter>& instances) {
-  std::map<Granter, size_t> owned;
-  for (const Granter& each : instances) {
+    const ShardTable& table, const std::set<ShardOwner>& lost,
+    const std::vector<ShardOwner>& instances) {
+  std::map<ShardOwner, size_t> owned;
+  for (const ShardOwner& each : instances) {
     if (lost.count(each) == 0) owned[each] = 0;
   }
   if (owned.empty()) return std::nullopt;
--- a/src/libcore/session/proxy_identity.cc
+++ b/src/libcore/session/proxy_identity.cc
@@ -17,7 +17,7 @@
                               Caller* caller) {
   const Identity identity =
       workspaces_.Identify(route.open_to_all, caller->key);
-  if (identity.known) {
+  if (identity.accepted) {
     caller->workspace =
         identity.workspace == nullptr ? "" : identity.workspace->name;
     return true;
@@ -44,7 +44,7 @@
   const std::shared_ptr<const Route> route = RouteOf(caller);
   // A removed route is reported by the reply to the next statement.
   if (route == nullptr || route->open_to_all) return true;
-  return workspaces_.StandsFor(caller.key, caller.workspace);
+  return workspaces_.KeyBelongsTo(caller.key, caller.workspace);
 }
 
 /// Revokes the sessions whose keys were removed: refuses requests that were not
@@ -108,8 +108,8 @@
     Dispatch(now, request);
     return;
   }
-  const limits::LimitAnswer answer =
-      limiter_->Ask(now, workspaces_.Find(caller.workspace), request->id);
+  const limits::LimitAnswer answer = limiter_->RequestAdmission(
+      now, workspaces_.Find(caller.workspace), request->id);
   if (answer.verdict == limits::Verdict::kPending) {
     request->awaits_limit = true;
   } else if (answer.verdict == limits::Verdict::kAllowed) {
@@ -153,7 +153,7 @@
 bool Proxy::Impl::IsAdoptedKeyValid(const ForwardedStatement& forwarded) const {
   if (forwarded.config_version >= route_table_.version) return true;
   if (forwarded.route.open_to_all) return true;
-  return workspaces_.StandsFor(forwarded.key, forwarded.workspace);
+  return workspaces_.KeyBelongsTo(forwarded.key, forwarded.workspace);
 }
 
 /// Refuses a statement that is about to run on a connection of another
--- a/src/libcore/workspace/workspaces.cc
+++ b/src/libcore/workspace/workspaces.cc
@@ -54,8 +54,8 @@
   return {true, found->second};
 }
 
-bool Workspaces::StandsFor(const KeyDigest& key,
-                           const std::string& workspace) const {
+bool Workspaces::KeyBelongsTo(const KeyDigest& key,
+                              const std::string& workspace) const {
   if (!keys_required_) return true;
   const auto found = by_key_.find(key);
   return found != by_key_.end() && found->second->name == workspace;
--- a/src/libwire/limits_codec.cc
+++ b/src/libwire/limits_codec.cc
@@ -11,7 +11,7 @@
 
 using core::limits::AllowanceAnswer;
 using core::limits::AllowanceRequest;
-using core::limits::kParts;
+using core::limits::kPartsPerLimit;
 using std::chrono::milliseconds;
 
 /// Operations that one question may ask for.
@@ -57,8 +57,8 @@
 std::optional<AllowanceRequest> ReadAllowanceRequest(std::string_view body) {
   RequestMap map;
   if (!Unpack(body, &map)) return std::nullopt;
-  if (map.workspace.empty() || map.part >= kParts || map.wanted > kMostWanted ||
-      !IsSane(map.rate) || !IsSane(map.burst)) {
+  if (map.workspace.empty() || map.part >= kPartsPerLimit ||
+      map.wanted > kMostWanted || !IsSane(map.rate) || !IsSane(map.burst)) {
     return std::nullopt;
   }
   AllowanceRequest request;
--- a/src/ryefoldd/gateway_failover.cc
+++ b/src/ryefoldd/gateway_failover.cc
@@ -36,7 +36,7 @@
       coordinator_(core::failover::CoordinatorTiming(), &promotion_, this,
                    surroundings_.events) {
   duty_.Attach(&election_);
-  duty_.OnTurn([this] { ArmElection(); });
+  duty_.SetEventCallback([this] { ArmElection(); });
   Observe();
 }
 
@@ -48,7 +48,7 @@
 void GatewayFailover::OnItems(const core::mirror::EntryMap& items,
                               const core::mirror::EntryMap& changed,
                               uint64_t as_of) {
-  duty_.OnItems(items, changed, as_of);
+  duty_.OnEntriesChanged(items, changed, as_of);
   for (const auto& [key, item] : changed) {
     const auto order = platform::DecodeOrder(item);
     if (!order.has_value()) continue;
--- a/src/ryefoldd/gateway_task.cc
+++ b/src/ryefoldd/gateway_task.cc
@@ -77,7 +77,7 @@
     proxy_ = std::make_unique<core::session::Proxy>(proxy, gateway_.get(),
                                                     events_.get(), &metrics_);
     gateway_->Attach(proxy_.get());
-    gateway_->OnTurn([this] { Rearm(); });
+    gateway_->SetBatchCallback([this] { Rearm(); });
     StartPeers();
     StartStore();
     StartFailover();
@@ -142,8 +142,8 @@
                const core::mirror::EntryMap& changed) {
           // First who there is: it decides who opens connections to the
           // databases that are told next.
-          if (members_ != nullptr) members_->OnItems(changed);
-          directory_->OnItems(items, changed);
+          if (members_ != nullptr) members_->OnEntriesChanged(changed);
+          directory_->OnEntriesChanged(items, changed);
           if (limits_ != nullptr) limits_->OnItems(items, changed);
           failover_->OnItems(items, changed, mirror_->as_of());
           gateway_->Flush();
@@ -195,8 +195,8 @@
       Rearm();
     };
     limits_ = std::make_unique<LimitsHost>(
-        core::limits::Granter{settings_.name, settings_.peer_address,
-                              settings_.failure_domain},
+        core::limits::ShardOwner{settings_.name, settings_.peer_address,
+                                 settings_.failure_domain},
         std::move(surroundings));
     proxy_->SetLimiter(limits_->limiter());
   }
@@ -217,7 +217,7 @@
     std::map<std::string, std::string> addresses;
     std::vector<core::session::KeeperCandidate> candidates;
     std::vector<core::mirror::Member> members;
-    std::vector<core::limits::Granter> granters;
+    std::vector<core::limits::ShardOwner> granters;
     instances_.clear();
     for (const platform::Instance& instance : instances) {
       instances_.push_back(instance.name);
--- a/src/ryefoldd/limits_host.cc
+++ b/src/ryefoldd/limits_host.cc
@@ -15,7 +15,7 @@
 using core::EventWeight;
 using core::limits::AllowanceAnswer;
 using core::limits::AllowanceRequest;
-using core::limits::Granter;
+using core::limits::ShardOwner;
 using core::limits::ShardTable;
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-LimitsHost::LimitsHost(const Granter& self, Surroundings surroundings)
+LimitsHost::LimitsHost(const ShardOwner& self, Surroundings surroundings)
     : surroundings_(std::move(surroundings)),
       shards_(surroundings_.store),
       ledger_(BootTime(), self),
@@ -51,7 +51,7 @@
     limiter_.SetConfiguration(version, workspaces);
     ledger_.Retain(workspaces);
   }
-  if (!shards_.OnItems(items, changed)) return;
+  if (!shards_.OnEntriesChanged(items, changed)) return;
   const ShardTable table = shards_.table().value_or(ShardTable());
   Event(surroundings_.events, EventWeight::kState, "limit_owners_known")
       .Add("table", table.number)
@@ -61,7 +61,7 @@
   assigner_.SetTable(now, shards_.table());
 }
 
-void LimitsHost::SetInstances(const std::vector<Granter>& instances) {
+void LimitsHost::SetInstances(const std::vector<ShardOwner>& instances) {
   assigner_.SetInstances(BootTime(), instances);
 }
 
@@ -70,7 +70,7 @@
                                   [this] { Maintain(); });
   if (!surroundings_.proxy->workspaces().keys_required()) return;
   if (!surroundings_.holds_duty()) return;
-  const std::optional<ShardTable> due = assigner_.Due(BootTime());
+  const std::optional<ShardTable> due = assigner_.NextTable(BootTime());
   if (!due.has_value()) return;
   Event(surroundings_.events, EventWeight::kState, "limit_owners_assigned")
       .Add("table", due->number)
@@ -78,9 +78,9 @@
   shards_.Write(*due);
 }
 
-void LimitsHost::AskOwner(uint64_t call, const Granter& owner,
-                          const AllowanceRequest& request,
-                          core::TimePoint deadline) {
+void LimitsHost::RequestAllowance(uint64_t call, const ShardOwner& owner,
+                                  const AllowanceRequest& request,
+                                  core::TimePoint deadline) {
   wire::PeerClient* peer = surroundings_.peers->To(owner.instance);
   if (peer == nullptr) {
     surroundings_.loop->Post([this, call] { Answered(call, {}); });
@@ -92,7 +92,7 @@
   peer->Call(std::string(wire::kPeerAllowance),
              wire::WriteAllowanceRequest(request), terms,
              [this, call](const wire::PeerResult& result) {
-               // Never from within `AskOwner`.
+               // Never from within `RequestAllowance`.
                surroundings_.loop->Post(
                    [this, call, result] { Answered(call, result); });
              });
@@ -103,7 +103,7 @@
   if (result.status == wire::CallStatus::kOk) {
     answer = wire::ReadAllowanceAnswer(result.body);
   }
-  limiter_.Answered(BootTime(), call, answer);
+  limiter_.AllowanceAnswered(BootTime(), call, answer);
   surroundings_.turn();
 }
 
--- a/src/ryefoldd/limits_host.h
+++ b/src/ryefoldd/limits_host.h
@@ -36,7 +36,7 @@
     std::function<void()> turn;
   };
 
-  LimitsHost(const core::limits::Granter& self, Surroundings surroundings);
+  LimitsHost(const core::limits::ShardOwner& self, Surroundings surroundings);
   ~LimitsHost() override;
   LimitsHost(const LimitsHost&) = delete;
   LimitsHost& operator=(const LimitsHost&) = delete;
@@ -46,16 +46,16 @@
                const core::mirror::EntryMap& changed);
   /// The mirror's copy is known to be what the store held at `when`.
   void OnConfirmed(core::TimePoint when) { ledger_.TableConfirmed(when); }
-  void SetInstances(const std::vector<core::limits::Granter>& instances);
+  void SetInstances(const std::vector<core::limits::ShardOwner>& instances);
 
   core::limits::OperationLimiter* limiter() { return &limiter_; }
   std::map<std::string, core::limits::LimitUsage> usage() const {
     return limiter_.usage();
   }
 
-  void AskOwner(uint64_t call, const core::limits::Granter& owner,
-                const core::limits::AllowanceRequest& request,
-                core::TimePoint deadline) override;
+  void RequestAllowance(uint64_t call, const core::limits::ShardOwner& owner,
+                        const core::limits::AllowanceRequest& request,
+                        core::TimePoint deadline) override;
   void OperationAllowed(core::TimePoint now,
                         core::limits::OperationId operation) override;
   void OperationRefused(core::TimePoint now,
--- a/testsuite/limits_parts/parts_test.cc
+++ b/testsuite/limits_parts/parts_test.cc
@@ -22,11 +22,11 @@
 using std::chrono::milliseconds;
 
 constexpr TimePoint kStart(std::chrono::hours(1));
-Granter Self() { return {"i1", "10.0.0.1:1", "a"}; }
-Granter Other() { return {"i2", "10.0.0.2:1", "b"}; }
-Granter Third() { return {"i3", "10.0.0.3:1", ""}; }
+ShardOwner Self() { return {"i1", "10.0.0.1:1", "a"}; }
+ShardOwner Other() { return {"i2", "10.0.0.2:1", "b"}; }
+ShardOwner Third() { return {"i3", "10.0.0.3:1", ""}; }
 
-ShardTable TableOf(const Granter& owner, uint64_t assigned, bool settled) {
+ShardTable TableOf(const ShardOwner& owner, uint64_t assigned, bool settled) {
   ShardTable table;
   table.number = assigned;
   table.shards.assign(kShardCount, {owner, assigned, settled});
@@ -136,9 +136,9 @@
 /// Records requests and decisions of a limiter; requests stay unanswered.
 class RecordingPort : public AllowancePort, public LimitListener {
  public:
-  void AskOwner(uint64_t call, const Granter& /*owner*/,
-                const AllowanceRequest& /*request*/,
-                TimePoint /*deadline*/) override {
+  void RequestAllowance(uint64_t call, const ShardOwner& /*owner*/,
+                        const AllowanceRequest& /*request*/,
+                        TimePoint /*deadline*/) override {
     calls.push_back(call);
   }
   void OperationAllowed(TimePoint /*now*/, OperationId operation) override {
@@ -169,16 +169,17 @@
   GrantedLimiter limiter(Self(), 1, &ledger, &port, &port, nullptr);
   limiter.SetTable(TableOf(Other(), 1, true));
   const workspace::WorkspaceRef w = LimitedWorkspace();
-  EXPECT_EQ(limiter.Ask(kStart, w, 1).verdict, Verdict::kPending);
+  EXPECT_EQ(limiter.RequestAdmission(kStart, w, 1).verdict, Verdict::kPending);
   limiter.SetTable(ShardTable());
   ASSERT_EQ(port.calls.size(), 1U);
   AllowanceAnswer nothing;
   nothing.not_owner = true;
-  limiter.Answered(kStart + milliseconds(1), port.calls.front(), nothing);
+  limiter.AllowanceAnswered(kStart + milliseconds(1), port.calls.front(),
+                            nothing);
   ASSERT_EQ(port.refused.size(), 1U);
   EXPECT_TRUE(port.refused.front().second);
   const TimePoint later = kStart + milliseconds(500);
-  EXPECT_EQ(limiter.Ask(later, w, 2).verdict, Verdict::kRefused);
+  EXPECT_EQ(limiter.RequestAdmission(later, w, 2).verdict, Verdict::kRefused);
 }
 
 // Guards against requests to former owners when the table changes while an
@@ -188,26 +189,27 @@
   AllowanceLedger ledger(kStart, Self());
   GrantedLimiter limiter(Self(), 1, &ledger, &port, &port, nullptr);
   limiter.SetTable(TableOf(Other(), 1, true));
-  EXPECT_EQ(limiter.Ask(kStart, LimitedWorkspace(), 1).verdict,
+  EXPECT_EQ(limiter.RequestAdmission(kStart, LimitedWorkspace(), 1).verdict,
             Verdict::kPending);
   ledger.SetTable(kStart - milliseconds(5000), TableOf(Self(), 2, true));
   ledger.TableConfirmed(kStart);
   limiter.SetTable(TableOf(Self(), 2, true));
   AllowanceAnswer nothing;
   nothing.not_owner = true;
-  limiter.Answered(kStart + milliseconds(1), port.calls.front(), nothing);
+  limiter.AllowanceAnswered(kStart + milliseconds(1), port.calls.front(),
+                            nothing);
   EXPECT_EQ(port.allowed.size() + port.refused.size(), 1U);
 }
 
 TEST(ShardAssigner, WaitsForTheFleetBeforeTheFirstTable) {
   ShardAssigner assigner;
-  EXPECT_FALSE(assigner.Due(kStart).has_value());
+  EXPECT_FALSE(assigner.NextTable(kStart).has_value());
   assigner.SetTable(kStart, std::nullopt);
   assigner.SetInstances(kStart, {Self()});
-  EXPECT_FALSE(assigner.Due(kStart + milliseconds(1900)).has_value());
+  EXPECT_FALSE(assigner.NextTable(kStart + milliseconds(1900)).has_value());
   assigner.SetInstances(kStart + milliseconds(1900), {Self(), Other()});
-  EXPECT_FALSE(assigner.Due(kStart + milliseconds(3000)).has_value());
-  const auto table = assigner.Due(kStart + milliseconds(4000));
+  EXPECT_FALSE(assigner.NextTable(kStart + milliseconds(3000)).has_value());
+  const auto table = assigner.NextTable(kStart + milliseconds(4000));
   ASSERT_TRUE(table.has_value());
   EXPECT_EQ(table->shards.size(), kShardCount);
   EXPECT_TRUE(table->shards.front().settled);
@@ -221,9 +223,9 @@
   assigner.SetTable(kStart, table);
   assigner.SetInstances(kStart, {Self(), Other()});
   assigner.SetInstances(kStart + milliseconds(1), {Self()});
-  EXPECT_FALSE(assigner.Due(kStart + milliseconds(10000)).has_value());
+  EXPECT_FALSE(assigner.NextTable(kStart + milliseconds(10000)).has_value());
   assigner.SetInstances(kStart + milliseconds(10000), {Self(), Other()});
-  EXPECT_FALSE(assigner.Due(kStart + milliseconds(60000)).has_value());
+  EXPECT_FALSE(assigner.NextTable(kStart + milliseconds(60000)).has_value());
 }
 
 TEST(ShardAssigner, ReplacesTheLostAndSettlesLater) {
@@ -231,7 +233,7 @@
   assigner.SetTable(kStart, MakeFirstTable({Self(), Other()}));
   assigner.SetInstances(kStart, {Self(), Third()});
   const TimePoint due = kStart + milliseconds(15000);
-  const auto table = assigner.Due(due);
+  const auto table = assigner.NextTable(due);
   ASSERT_TRUE(table.has_value());
   size_t unsettled = 0;
   for (const Shard& shard : table->shards) {
@@ -240,8 +242,9 @@
   }
   EXPECT_EQ(unsettled, kShardCount / 2);
   assigner.SetTable(due, table);
-  EXPECT_FALSE(assigner.Due(due + kOwnershipLease).has_value());
-  const auto settled = assigner.Due(due + kOwnershipLease + milliseconds(2000));
+  EXPECT_FALSE(assigner.NextTable(due + kOwnershipLease).has_value());
+  const auto settled =
+      assigner.NextTable(due + kOwnershipLease + milliseconds(2000));
   ASSERT_TRUE(settled.has_value());
   EXPECT_TRUE(settled->shards.back().settled);
 }
@@ -259,7 +262,7 @@
 
 RC_GTEST_PROP(LimitsCodec, ReadsWhatItWrites, ()) {
   AllowanceRequest request = RequestFor(*rc::gen::inRange<uint32_t>(0, 5000));
-  request.part = *rc::gen::inRange<uint32_t>(0, kParts);
+  request.part = *rc::gen::inRange<uint32_t>(0, kPartsPerLimit);
   const auto read =
       wire::ReadAllowanceRequest(wire::WriteAllowanceRequest(request));
   RC_ASSERT(read.has_value());
--- a/testsuite/platform_directory/directory_test.cc
+++ b/testsuite/platform_directory/directory_test.cc
@@ -61,7 +61,7 @@
  protected:
   void Put(const std::string& key, const std::string& value) {
     items_[key] = MakeEntry(key, value, ++revision_);
-    directory_.OnItems(items_, {{key, items_[key]}});
+    directory_.OnEntriesChanged(items_, {{key, items_[key]}});
   }
 
   RecordingListener listener_;
@@ -172,7 +172,7 @@
   for (const std::string& text : {std::string(kConfigWithWorkspaces), broken}) {
     const core::mirror::EntryMap items = {
         {"op/config", MakeEntry("op/config", text, text.size())}};
-    directory.OnItems(items, items);
+    directory.OnEntriesChanged(items, items);
   }
   EXPECT_FALSE(listener.lines.empty());
   for (const std::string& line : listener.lines) {
@@ -192,7 +192,7 @@
   const core::mirror::EntryMap items = {
       {"servers/a", MakeEntry("servers/a", text, 1)},
       {"servers/b", MakeEntry("servers/b", kValidEntry, 2)}};
-  directory.OnItems(items, items);
+  directory.OnEntriesChanged(items, items);
   RC_ASSERT(listener.roster.count("b") == 1U);
   if (listener.roster.count("a") == 0) {
     RC_ASSERT(listener.lines.size() == 1U);
--- a/testsuite/platform_gateway/gateway_test.cc
+++ b/testsuite/platform_gateway/gateway_test.cc
@@ -46,7 +46,7 @@
   void OnConnected() override { channel_.Flush(); }
   void OnLine(std::string_view line) override { lines_.emplace_back(line); }
   void OnBroken(const std::string& /*why*/) override { broken_ = true; }
-  void OnTurnEnd() override {}
+  void OnBatchEnd() override {}
 
   void Send(const std::string& bytes) {
     channel_.output()->append(bytes);
--- a/testsuite/standins/lib/line_databases.cc
+++ b/testsuite/standins/lib/line_databases.cc
@@ -80,7 +80,7 @@
         channel_(owner->base_, fd, this) {}
 
   void OnConnected() override {}
-  void OnTurnEnd() override { channel_.Flush(); }
+  void OnBatchEnd() override { channel_.Flush(); }
   void OnBroken(const std::string& /*why*/) override { Close(); }
   void OnLine(std::string_view line) override {
     std::string rest(line);
--- a/testsuite/support/event/session_link.h
+++ b/testsuite/support/event/session_link.h
@@ -27,7 +27,7 @@
     channel_.output()->append("START " + route + " test\r\n");
   }
   void OnConnected() override { channel_.Flush(); }
-  void OnTurnEnd() override {}
+  void OnBatchEnd() override {}
   void OnBroken(const std::string& /*why*/) override { on_closed_(); }
   void OnLine(std::string_view line) override {
     if (!started_) {
--- a/testsuite/support/limits/limit_fleet.h
+++ b/testsuite/support/limits/limit_fleet.h
@@ -24,9 +24,9 @@
 
 using core::limits::AllowanceAnswer;
 using core::limits::AllowanceRequest;
-using core::limits::Granter;
 using core::limits::LimitAnswer;
 using core::limits::OperationId;
+using core::limits::ShardOwner;
 using core::limits::ShardTable;
 using core::limits::Verdict;
 using core::workspace::RateLimit;
@@ -55,7 +55,7 @@
   uint64_t revision = 0;
   uint64_t version = 1;
   std::map<std::string, WorkspaceRef> workspaces;
-  std::set<Granter> registered;
+  std::set<ShardOwner> registered;
   bool up = true;
 };
 
@@ -65,7 +65,7 @@
 class LimitNode : public core::limits::AllowancePort,
                   public core::limits::LimitListener {
  public:
-  LimitNode(LimitFleet* fleet, Granter self)
+  LimitNode(LimitFleet* fleet, ShardOwner self)
       : fleet_(fleet), self_(std::move(self)) {}
 
   void Start();
@@ -75,7 +75,7 @@
     ++boot_;
   }
   bool up() const { return up_; }
-  const Granter& self() const { return self_; }
+  const ShardOwner& self() const { return self_; }
   /// The process is suspended until this time.
   TimePoint suspended_until;
   bool disconnected_from_store = false;
@@ -85,8 +85,9 @@
   void RunOrDefer(const std::function<void()>& work);
   void Ask(const std::string& workspace, OperationId operation);
 
-  void AskOwner(uint64_t call, const Granter& owner,
-                const AllowanceRequest& request, TimePoint deadline) override;
+  void RequestAllowance(uint64_t call, const ShardOwner& owner,
+                        const AllowanceRequest& request,
+                        TimePoint deadline) override;
   void OperationAllowed(TimePoint now, OperationId operation) override;
   void OperationRefused(TimePoint now, OperationId operation,
                         const LimitAnswer& answer) override;
@@ -96,7 +97,7 @@
   void ReadStore();
 
   LimitFleet* fleet_;
-  const Granter self_;
+  const ShardOwner self_;
   bool up_ = false;
   uint64_t boot_ = 0;
   uint64_t known_version_ = 0;
@@ -140,14 +141,14 @@
     const std::string number = std::to_string(nodes_.size());
     const std::string domain(1, static_cast<char>('a' + nodes_.size() % 3));
     nodes_.push_back(std::make_unique<LimitNode>(
-        this, Granter{"i" + number, "10.0.0." + number + ":1", domain}));
+        this, ShardOwner{"i" + number, "10.0.0." + number + ":1", domain}));
     return nodes_.back().get();
   }
   void Run(milliseconds span) { clock.RunUntil(clock.now() + span); }
 
   LimitNode* node(size_t index) { return nodes_.at(index).get(); }
   size_t size() const { return nodes_.size(); }
-  LimitNode* Find(const Granter& self) {
+  LimitNode* Find(const ShardOwner& self) {
     for (const auto& node : nodes_) {
       if (node->self() == self) return node.get();
     }
@@ -160,7 +161,7 @@
     }
   }
   void HealPartition() { far_side_nodes_.clear(); }
-  bool CanReach(const Granter& one, const Granter& other) const {
+  bool CanReach(const ShardOwner& one, const ShardOwner& other) const {
     return far_side_nodes_.count(one) == far_side_nodes_.count(other);
   }
   std::mt19937_64& random() { return random_; }
@@ -265,7 +266,7 @@
 
   std::mt19937_64 random_;
   std::vector<std::unique_ptr<LimitNode>> nodes_;
-  std::set<Granter> far_side_nodes_;
+  std::set<ShardOwner> far_side_nodes_;
   std::map<std::string, double> demand_;
   std::map<std::string, std::vector<std::pair<TimePoint, RateLimit>>> limits_;
   std::map<OperationId, Pending> pending_;
@@ -336,7 +337,7 @@
   assigner_->SetTable(now, store.table);
   assigner_->SetInstances(now,
                           {store.registered.begin(), store.registered.end()});
-  const auto due = assigner_->Due(now);
+  const auto due = assigner_->NextTable(now);
   if (!due.has_value()) return;
   store.table = due;
   ++store.revision;
@@ -350,19 +351,19 @@
     return;
   }
   const LimitAnswer answer =
-      limiter_->Ask(fleet_->clock.now(), found->second, operation);
+      limiter_->RequestAdmission(fleet_->clock.now(), found->second, operation);
   if (answer.verdict == Verdict::kAllowed) fleet_->RecordAllowed(operation);
   if (answer.verdict == Verdict::kRefused) fleet_->RecordRefused(operation);
 }
 
-inline void LimitNode::AskOwner(uint64_t call, const Granter& owner,
-                                const AllowanceRequest& request,
-                                TimePoint deadline) {
+inline void LimitNode::RequestAllowance(uint64_t call, const ShardOwner& owner,
+                                        const AllowanceRequest& request,
+                                        TimePoint deadline) {
   const auto answered = [this, call,
                          boot = boot_](std::optional<AllowanceAnswer> answer) {
     if (boot != boot_) return;
     RunOrDefer([this, call, answer] {
-      limiter_->Answered(fleet_->clock.now(), call, answer);
+      limiter_->AllowanceAnswered(fleet_->clock.now(), call, answer);
     });
   };
   fleet_->clock.At(deadline, [answered] { answered(std::nullopt); });
--- a/testsuite/workspace_keys/workspaces_test.cc
+++ b/testsuite/workspace_keys/workspaces_test.cc
@@ -28,7 +28,7 @@
 TEST(Workspaces, NeedNoKeyWhereNoneIsConfigured) {
   Workspaces workspaces;
   const Identity identity = workspaces.Identify(false, {1, 2});
-  EXPECT_TRUE(identity.known);
+  EXPECT_TRUE(identity.accepted);
   EXPECT_EQ(identity.workspace, nullptr);
 }
 
@@ -36,15 +36,15 @@
 TEST(Workspaces, RefuseAnUnknownKey) {
   Workspaces workspaces;
   workspaces.Replace(MakeTable({MakeWorkspace("w", {{1, 1}})}));
-  EXPECT_FALSE(workspaces.Identify(false, {1, 2}).known);
-  EXPECT_FALSE(workspaces.Identify(false, {}).known);
+  EXPECT_FALSE(workspaces.Identify(false, {1, 2}).accepted);
+  EXPECT_FALSE(workspaces.Identify(false, {}).accepted);
   EXPECT_EQ(workspaces.Identify(false, {1, 1}).workspace->name, "w");
 }
 
 TEST(Workspaces, AcceptAnyKeyOnAPublicRoute) {
   Workspaces workspaces;
   workspaces.Replace(MakeTable({MakeWorkspace("w", {{1, 1}})}));
-  EXPECT_TRUE(workspaces.Identify(true, {9, 9}).known);
+  EXPECT_TRUE(workspaces.Identify(true, {9, 9}).accepted);
   EXPECT_EQ(workspaces.Identify(true, {1, 1}).workspace, nullptr);
 }
 
@@ -59,7 +59,7 @@
   EXPECT_TRUE(workspaces.Replace(MakeTable({MakeWorkspace("w", {{1, 1}})})));
   EXPECT_TRUE(workspaces.Replace(MakeTable({MakeWorkspace("v", {{1, 1}})})));
   EXPECT_TRUE(workspaces.Replace(MakeTable({})));
-  EXPECT_FALSE(workspaces.Identify(false, {1, 1}).known);
+  EXPECT_FALSE(workspaces.Identify(false, {1, 1}).accepted);
 }
 
 // Guards against a change of one workspace being treated as a change of all.
@@ -94,7 +94,7 @@
   workspaces.Replace(MakeTable(all));
   for (const auto& [key, name] : owner) {
     RC_ASSERT(workspaces.Identify(false, {key, ~key}).workspace->name == name);
-    RC_ASSERT(!workspaces.Identify(false, {key, key}).known);
+    RC_ASSERT(!workspaces.Identify(false, {key, key}).accepted);
   }
 }
 
