--- a/src/libcore/limits/granted_limiter.cc
+++ b/src/libcore/limits/granted_limiter.cc
@@ -78,19 +78,18 @@
 /// over all parts. Returns an empty list without a table.
 std::vector<uint32_t> GrantedLimiter::OrderParts(
     const std::string& workspace) const {
-  std::vector<uint32_t> part_order;
-  if (table_.shards.empty()) return part_order;
-  for (uint32_t part = 0; part < kPartsPerLimit; ++part)
-    part_order.push_back(part);
+  std::vector<uint32_t> order;
+  if (table_.shards.empty()) return order;
+  for (uint32_t part = 0; part < kPartsPerLimit; ++part) order.push_back(part);
   const auto rank = [this, &workspace](uint32_t part) {
     const ShardOwner& owner = table_.shards[ShardOf(workspace, part)].owner;
     return std::make_tuple(
         owner != self_, owner.failure_domain != self_.failure_domain,
         XXH64(self_.instance.data(), self_.instance.size(), part));
   };
-  std::sort(part_order.begin(), part_order.end(),
+  std::sort(order.begin(), order.end(),
             [&rank](uint32_t a, uint32_t b) { return rank(a) < rank(b); });
-  return part_order;
+  return order;
 }
 
 LimitAnswer GrantedLimiter::RequestAdmission(
