--- a/src/include/ryefold/core/admission/return_plan.h
+++ b/src/include/ryefold/core/admission/return_plan.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// When refused callers are told to come back.
+// Retry delays for refused callers.
 
 #include <chrono>
 #include <optional>
@@ -10,23 +10,26 @@
 
 namespace ryefold::core::admission {
 
-/// Gives each refused caller a time of its own, so that they come back no
-/// faster than part of the drain rate. If all were told the same time, they
-/// would return as one crowd, be refused as one crowd, and keep a group
-/// saturated long after the cause is gone.
-class ReturnPlan {
+/// Gives each refused caller its own retry time, so that callers return at no
+/// more than a fraction of the drain rate. With one common time they would
+/// return together, be refused together, and keep the group saturated long
+/// after the cause has ended.
+class RetryAfterPlanner {
  public:
-  explicit ReturnPlan(uint64_t seed) : random_(seed) {}
+  explicit RetryAfterPlanner(uint64_t seed) : random_(seed) {}
 
-  /// `rate` is what the caller's class gets served a second, `ahead` how many
-  /// wait before it. `promised` is the class's own: until when callers have
-  /// been told to come back.
-  std::chrono::milliseconds Next(TimePoint now, std::optional<double> rate,
-                                 double ahead, TimePoint* promised);
+  /// Returns the delay after which the caller should retry. `rate` is the
+  /// number of requests per second served for the caller's class, `ahead` the
+  /// number of tickets ahead of it. `last_retry_at` holds the latest retry time
+  /// given to a caller of this class and is advanced.
+  std::chrono::milliseconds NextRetryAfter(TimePoint now,
+                                           std::optional<double> rate,
+                                           double ahead,
+                                           TimePoint* last_retry_at);
 
  private:
-  std::chrono::milliseconds Between(std::chrono::milliseconds low,
-                                    std::chrono::milliseconds high);
+  std::chrono::milliseconds RandomBetween(std::chrono::milliseconds low,
+                                          std::chrono::milliseconds high);
 
   std::mt19937_64 random_;
 };
--- a/src/libcore/admission/lines.h
+++ b/src/libcore/admission/lines.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The waiting lines behind `Queue`: one per workspace, grouped by class.
+// Workspace queues behind `Queue`, grouped by priority class.
 
 #include <cstdint>
 #include <functional>
@@ -16,67 +16,71 @@
 namespace ryefold::core::admission {
 
 using Tickets = std::list<Ticket>;
-using CanRun = std::function<bool(const Ticket&)>;
+using TicketPredicate = std::function<bool(const Ticket&)>;
 
 class PriorityClass;
 
-/// Tickets of one workspace, oldest first. Lives as long as it has some.
-struct Line {
+/// Tickets of one workspace, oldest first. Exists only while it has tickets.
+struct WorkspaceQueue {
   uint64_t id = 0;
   std::string workspace;
   uint32_t priority = 0;
   double weight = 1;
   double deficit = 0;
   Tickets tickets;
-  PriorityClass* home = nullptr;
-  std::list<Line*>::iterator place;
+  PriorityClass* owner = nullptr;
+  std::list<WorkspaceQueue*>::iterator ring_position;
 
   double load() const { return static_cast<double>(tickets.size()) / weight; }
 };
 
-/// One class: deficit round robin over its lines that have tickets. Each turn
-/// of a line earns it its weight in units of the class's least weight, so
-/// large weights do not mean long bursts.
+/// One priority class: deficit round robin over its non-empty queues. Each turn
+/// adds a queue's weight divided by the smallest weight of the class, so that
+/// large weights do not cause long bursts.
 class PriorityClass {
  public:
-  Tickets::iterator Add(Line* line, Ticket ticket);
-  void Remove(Line* line, Tickets::iterator ticket);
+  Tickets::iterator Add(WorkspaceQueue* queue, Ticket ticket);
+  void Remove(WorkspaceQueue* queue, Tickets::iterator ticket);
 
-  /// Takes the next ticket that can run.
-  std::optional<Ticket> Take(const CanRun& can_run);
+  /// Removes and returns the next ticket that can run; nullopt if there is
+  /// none.
+  std::optional<Ticket> TakeNext(const TicketPredicate& can_run);
 
-  /// Tickets of this class that may be served before the `ordinal`-th ticket
-  /// (from 1) of a line of this weight; an upper bound in constant time.
-  /// `active` says that the line has tickets already.
-  double Ahead(double weight, size_t ordinal, bool active) const;
+  /// Returns an upper bound, in constant time, on the tickets of this class
+  /// served before the `ordinal`-th ticket (from 1) of a queue of this weight.
+  /// `active` is true if the queue already has tickets.
+  double TicketsAhead(double weight, size_t ordinal, bool active) const;
 
-  /// The line with the most tickets for its weight; null when all are empty.
-  Line* heaviest() const;
+  /// Returns the queue with the most tickets relative to its weight; null if
+  /// the class is empty.
+  WorkspaceQueue* most_loaded() const;
 
-  /// Takes the line out or in with all its tickets, to be served in another
-  /// class or with another weight.
-  void Leave(Line* line);
-  void Join(Line* line);
+  /// Detaches or attaches a queue with all its tickets, to move it to another
+  /// class or to change its weight.
+  void Detach(WorkspaceQueue* queue);
+  void Attach(WorkspaceQueue* queue);
 
   size_t size() const { return size_; }
-  const std::list<Line*>& lines() const { return ring_; }
+  const std::list<WorkspaceQueue*>& queues() const { return ring_; }
 
-  /// Tickets of open transactions, served before those of any line.
+  /// Tickets of open transactions, served before all workspace queues.
   Tickets transactions;
-  double least_weight = 1;
+  double min_weight = 1;
   ArrivalRate arrivals;
-  /// Until when callers that were refused have been told to come back.
-  TimePoint promised;
+  /// Latest retry time given to a refused caller of this class.
+  TimePoint last_retry_at;
 
  private:
-  using Load = std::tuple<double, uint64_t, Line*>;
-  static Load LoadOf(Line* line) { return {line->load(), line->id, line}; }
-  void Count(Line* line);
-  void Discount(Line* line);
-  void Pass();
-
-  std::list<Line*> ring_;
-  std::set<Load> by_load_;
+  using LoadKey = std::tuple<double, uint64_t, WorkspaceQueue*>;
+  static LoadKey LoadKeyOf(WorkspaceQueue* queue) {
+    return {queue->load(), queue->id, queue};
+  }
+  void AddToTotals(WorkspaceQueue* queue);
+  void SubtractFromTotals(WorkspaceQueue* queue);
+  void EndTurn();
+
+  std::list<WorkspaceQueue*> ring_;
+  std::set<LoadKey> by_load_;
   size_t size_ = 0;
   double active_weight_ = 0;
 };
--- a/src/libcore/mirror/relay.cc
+++ b/src/libcore/mirror/relay.cc
@@ -12,58 +12,60 @@
   answer.as_of = log_->as_of();
   answer.digest = log_->digest();
   answer.confirmed_at = confirmed_at_;
-  auto changes = after == 0 ? std::nullopt : log_->Since(after);
+  auto changes = after == 0 ? std::nullopt : log_->ChangesSince(after);
   answer.whole = !changes.has_value();
-  answer.changes = answer.whole ? log_->All() : std::move(*changes);
+  answer.changes = answer.whole ? log_->AllChanges() : std::move(*changes);
   return answer;
 }
 
-void Relay::Asked(TimePoint now, RelayCall call, uint64_t after,
-                  TimePoint wait_until) {
+void Relay::HandleRequest(TimePoint now, RelayCallId call, uint64_t after,
+                          TimePoint wait_until) {
   const bool current = state_ == RelayState::kCurrent;
-  const bool news = current && after < log_->as_of();
-  if (state_ == RelayState::kNotCurrent || news || now >= wait_until) {
-    port_->AnswerRelayed(call, AnswerFor(after));
+  const bool has_changes = current && after < log_->as_of();
+  if (state_ == RelayState::kNotCurrent || has_changes || now >= wait_until) {
+    port_->SendRelayAnswer(call, AnswerFor(after));
     return;
   }
-  waiting_[call] = {after, wait_until};
+  pending_[call] = {after, wait_until};
 }
 
-template <class Due>
-void Relay::AnswerIf(const Due& due) {
-  std::vector<std::pair<RelayCall, uint64_t>> answered;
-  for (const auto& [call, each] : waiting_) {
-    if (due(each)) answered.emplace_back(call, each.after);
+template <class Predicate>
+void Relay::AnswerMatching(const Predicate& matches) {
+  std::vector<std::pair<RelayCallId, uint64_t>> answered;
+  for (const auto& [call, each] : pending_) {
+    if (matches(each)) answered.emplace_back(call, each.after);
   }
   for (const auto& [call, after] : answered) {
-    waiting_.erase(call);
-    port_->AnswerRelayed(call, AnswerFor(after));
+    pending_.erase(call);
+    port_->SendRelayAnswer(call, AnswerFor(after));
   }
 }
 
 void Relay::SetState(RelayState state, TimePoint confirmed_at) {
   confirmed_at_ = confirmed_at;
   if (std::exchange(state_, state) == state) return;
-  // While it catches up they wait on: told at once that it is not current, all
-  // of them would turn to the store in the moment that all relays list it.
+  // Calls stay pending while this instance catches up: if they were refused at
+  // once, all callers would turn to the store while all relays list it.
   if (state == RelayState::kNotCurrent) {
-    AnswerIf([](const Waiting&) { return true; });
+    AnswerMatching([](const PendingRequest&) { return true; });
   }
 }
 
-void Relay::Changed() {
+void Relay::OnLogChanged() {
   if (state_ != RelayState::kCurrent) return;
   const uint64_t as_of = log_->as_of();
-  AnswerIf([as_of](const Waiting& each) { return each.after < as_of; });
+  AnswerMatching(
+      [as_of](const PendingRequest& each) { return each.after < as_of; });
 }
 
 void Relay::Tick(TimePoint now) {
-  AnswerIf([now](const Waiting& each) { return each.until <= now; });
+  AnswerMatching(
+      [now](const PendingRequest& each) { return each.until <= now; });
 }
 
 TimePoint Relay::next_deadline() const {
   TimePoint next = TimePoint::max();
-  for (const auto& [call, each] : waiting_) next = std::min(next, each.until);
+  for (const auto& [call, each] : pending_) next = std::min(next, each.until);
   return next;
 }
 
--- a/src/libcore/session/proxy_callers.cc
+++ b/src/libcore/session/proxy_callers.cc
@@ -1,5 +1,5 @@
-// What callers ask: letting them in, what the proxy answers by itself, the
-// state of their transactions, and ending their sessions.
+// Callers: session start, statements answered without a database, transaction
+// state, and session end.
 
 #include <algorithm>
 #include <utility>
@@ -12,9 +12,9 @@
 
 using std::chrono::milliseconds;
 
-/// Part of a transaction's idle bound after which it is ended, so that the
-/// bound itself is never undercut by a late timer.
-constexpr milliseconds kIdleSlack{100};
+/// Added to the configured idle timeout of a transaction, so that timer
+/// inaccuracy never ends one early.
+constexpr milliseconds kIdleTimeoutMargin{100};
 
 bool IsTransactionEnd(StatementKind kind) {
   return kind == StatementKind::kCommit || kind == StatementKind::kRollback;
@@ -29,19 +29,19 @@
 void Proxy::Impl::CallerStarted(TimePoint now, CallerId id,
                                 const std::string& route,
                                 const workspace::KeyDigest& key) {
-  // Others are further, as a rule: turned away here, a caller is served sooner
-  // elsewhere than kept waiting, after a loss of all power too.
-  if (!Informed()) {
+  // Other instances are usually further in their start-up, also after a power
+  // loss: a refused caller is served elsewhere sooner than it would be here.
+  if (!IsInitialized()) {
     port_->CloseCaller(id, ErrorCode::kBusy, "no configuration yet");
     return;
   }
   const std::shared_ptr<const Route> found = RouteOf(route);
   if (found == nullptr) {
-    Event(events_, EventWeight::kRequest, "caller_refused")
+    Event(events_, EventPriority::kRequest, "caller_refused")
         .Add("caller", id)
         .Add("database", route)
         .Add("reason", "no_route")
-        .Add("config_version", table_.version)
+        .Add("config_version", route_table_.version)
         .Add("config_age", now - routes_confirmed_at_);
     port_->CloseCaller(id, ErrorCode::kNoRoute, route);
     return;
@@ -50,7 +50,7 @@
   caller.id = id;
   caller.route = route;
   caller.key = key;
-  if (!Admit(now, *found, &caller)) return;
+  if (!AdmitCaller(now, *found, &caller)) return;
   callers_.emplace(id, std::move(caller));
   port_->AcceptCaller(id);
 }
@@ -61,7 +61,7 @@
   return found == routes_.end() ? nullptr : found->second;
 }
 
-Reply Proxy::Impl::LocalReply(const Caller& caller) const {
+Reply Proxy::Impl::MakeLocalReply(const Caller& caller) const {
   Reply reply;
   reply.state = caller.state;
   reply.position = caller.position;
@@ -69,11 +69,11 @@
 }
 
 std::shared_ptr<const Route> Proxy::Impl::RouteOf(const Caller& caller) const {
-  return caller.fixed_route != nullptr ? caller.fixed_route
-                                       : RouteOf(caller.route);
+  return caller.forwarded_route != nullptr ? caller.forwarded_route
+                                           : RouteOf(caller.route);
 }
 
-void Proxy::Impl::Tell(const Caller& caller, const Reply& reply) {
+void Proxy::Impl::SendReply(const Caller& caller, const Reply& reply) {
   if (caller.adopted) {
     forwarder_->AnswerForwarded(caller.id, reply);
   } else {
@@ -83,26 +83,26 @@
 
 void Proxy::Impl::AnswerLocally(Caller* caller, ErrorCode error,
                                 const std::string& text) {
-  Reply reply = LocalReply(*caller);
+  Reply reply = MakeLocalReply(*caller);
   reply.error = error;
   reply.error_text = text;
-  Tell(*caller, reply);
+  SendReply(*caller, reply);
 }
 
-PreparedRef Proxy::Impl::Intern(bool writes, const std::string& shape) {
-  std::weak_ptr<const Prepared>& known = prepared_[{writes, shape}];
-  PreparedRef prepared = known.lock();
+PreparedRef Proxy::Impl::InternPrepared(bool writes, const std::string& shape) {
+  std::weak_ptr<const Prepared>& entry = prepared_[{writes, shape}];
+  PreparedRef prepared = entry.lock();
   if (prepared == nullptr) {
     prepared = std::make_shared<const Prepared>(
         Prepared{++last_prepared_, writes, shape});
-    known = prepared;
+    entry = prepared;
   }
   return prepared;
 }
 
-/// Answers what needs no database. Variables and prepared statements are kept
-/// with the session and brought to a connection before the next statement
-/// that goes there.
+/// Answers statements that need no database. Variables and prepared statements
+/// are stored with the session and sent to a connection before the next
+/// statement that runs there.
 bool Proxy::Impl::AnswerWithoutDatabase(TimePoint now, Caller* caller,
                                         const Statement& statement) {
   const TransactionState state = caller->state;
@@ -124,7 +124,7 @@
       return true;
     case StatementKind::kPrepare:
       caller->prepared[statement.name] =
-          Intern(statement.writes, statement.argument);
+          InternPrepared(statement.writes, statement.argument);
       AnswerLocally(caller, ErrorCode::kNone, "");
       return true;
     case StatementKind::kDeallocate:
@@ -166,7 +166,7 @@
   request.caller = id;
   request.statement_id = statement_id;
   request.statement = std::move(statement);
-  request.arrived = now;
+  request.arrived_at = now;
   request.writes = request.statement.kind == StatementKind::kWrite;
   if (request.statement.kind == StatementKind::kExecute) {
     const auto found = caller->prepared.find(request.statement.name);
@@ -181,70 +181,71 @@
     request.writes = found->second->writes;
   }
   if (caller->state == TransactionState::kOpen) {
-    InTransaction(now, caller, std::move(request));
+    RunInTransaction(now, caller, std::move(request));
   } else {
-    OutsideTransaction(now, caller, std::move(request));
+    RunOutsideTransaction(now, caller, std::move(request));
   }
 }
 
-Request* Proxy::Impl::Keep(Request request) {
+Request* Proxy::Impl::AddRequest(Request request) {
   request.id = ++last_request_;
-  request.goal_at = request.arrived + request.route->goal;
-  request.line = request.route->name;
+  request.goal_deadline = request.arrived_at + request.route->goal;
+  request.queue_key = request.route->name;
   const std::string& workspace = callers_.at(request.caller).workspace;
-  if (!workspace.empty()) request.line.append("/").append(workspace);
-  request.timeout_at = request.arrived + request.route->statement_timeout;
+  if (!workspace.empty()) request.queue_key.append("/").append(workspace);
+  request.timeout_at = request.arrived_at + request.route->statement_timeout;
   const RequestId id = request.id;
-  Request* kept = &requests_.emplace(id, std::move(request)).first->second;
-  callers_.at(kept->caller).request = id;
-  SetTimer(kept, kept->timeout_at);
-  return kept;
+  Request* added = &requests_.emplace(id, std::move(request)).first->second;
+  callers_.at(added->caller).request = id;
+  SetTimer(added, added->timeout_at);
+  return added;
 }
 
-void Proxy::Impl::InTransaction(TimePoint now, Caller* caller,
-                                Request request) {
+void Proxy::Impl::RunInTransaction(TimePoint now, Caller* caller,
+                                   Request request) {
   Connection* connection = FindConnection(caller->transaction.connection);
-  request.need = Need::kTransaction;
+  request.requirement = Requirement::kTransaction;
   request.route = caller->transaction.route;
   caller->transaction.wrote |= request.writes;
-  Request* kept = Keep(std::move(request));
+  Request* added = AddRequest(std::move(request));
   if (!caller->transaction.keeper.empty()) {
-    Forward(now, kept, caller->transaction.keeper);
+    Forward(now, added, caller->transaction.keeper);
     return;
   }
-  const bool commits = kept->statement.kind == StatementKind::kCommit &&
-                       caller->transaction.wrote;
-  if (commits && WritesHeld(*kept)) {
+  const bool is_writing_commit =
+      added->statement.kind == StatementKind::kCommit &&
+      caller->transaction.wrote;
+  if (is_writing_commit && AreWritesHeld(*added)) {
     EndTransaction(now, caller, /*roll_back=*/true);
-    RefuseHeld(now, kept, ErrorCode::kAborted);
+    RefuseHeldWrite(now, added, ErrorCode::kAborted);
     return;
   }
-  Send(now, connection, kept, std::nullopt);
+  SendStatement(now, connection, added, std::nullopt);
 }
 
-void Proxy::Impl::OutsideTransaction(TimePoint now, Caller* caller,
-                                     Request request) {
+void Proxy::Impl::RunOutsideTransaction(TimePoint now, Caller* caller,
+                                        Request request) {
   request.route = RouteOf(*caller);
   if (request.route == nullptr) {
     AnswerLocally(caller, ErrorCode::kNoRoute, caller->route);
     return;
   }
-  if (!caller->adopted && !Admit(now, *request.route, caller)) return;
+  if (!caller->adopted && !AdmitCaller(now, *request.route, caller)) return;
   if (caller->group != request.route->group) {
     caller->group = request.route->group;
     caller->committed = LogPosition();
   }
   const StatementKind kind = request.statement.kind;
-  const bool reads =
+  const bool is_read =
       kind == StatementKind::kBeginRead || (!IsBegin(kind) && !request.writes);
-  if (!reads) {
-    request.need = Need::kPrimary;
+  if (!is_read) {
+    request.requirement = Requirement::kPrimary;
   } else if (request.route->freshness == Freshness::kPrimary) {
-    request.need = Need::kProvedRead;
+    request.requirement = Requirement::kProvedRead;
   } else {
-    request.need = Need::kCoveredRead;
+    request.requirement = Requirement::kReadAtPosition;
   }
-  StartOperation(now, *caller, Keep(std::move(request)));
+  StartOperation(now, *caller, AddRequest(std::move(request)));
 }
 
 void Proxy::Impl::SetTimer(Request* request, TimePoint when) {
@@ -255,14 +256,14 @@
   timers_.emplace(when, request->id);
 }
 
-void Proxy::Impl::Forget(Request* request) {
+void Proxy::Impl::RemoveRequest(Request* request) {
   if (request->timer != TimePoint()) {
     timers_.erase({request->timer, request->id});
   }
   if (!request->forwarded_to.empty()) {
     forwarder_->Cancel(request->id);
-    InstanceState& keeper = others_[request->forwarded_to];
-    if (keeper.under_way > 0) --keeper.under_way;
+    InstanceState& keeper = peers_[request->forwarded_to];
+    if (keeper.forwards_in_flight > 0) --keeper.forwards_in_flight;
   }
   if (request->awaits_limit && limiter_ != nullptr) {
     limiter_->Cancel(callers_.at(request->caller).workspace, request->id);
@@ -271,18 +272,18 @@
   if (request->queued && group != nullptr) {
     QueueOf(group, *request)->Remove(request->id);
   }
-  if (request->unconfirmed.has_value() && group != nullptr) {
-    std::erase(group->unconfirmed, request->id);
+  if (request->unconfirmed_reply.has_value() && group != nullptr) {
+    std::erase(group->unconfirmed_commits, request->id);
   }
-  if (request->unproved.has_value() && group != nullptr) {
-    std::erase(group->unproved, request->id);
+  if (request->unproved_reply.has_value() && group != nullptr) {
+    std::erase(group->unproved_reads, request->id);
   }
   Caller* caller = FindCaller(request->caller);
   if (caller != nullptr && caller->request == request->id) caller->request = 0;
   requests_.erase(request->id);
 }
 
-void Proxy::Impl::Finish(TimePoint now, Request* request, Reply reply) {
+void Proxy::Impl::FinishRequest(TimePoint now, Request* request, Reply reply) {
   Caller* caller = FindCaller(request->caller);
   if (caller != nullptr) {
     reply.state = caller->state;
@@ -292,44 +293,46 @@
       reply.position = caller->position;
     }
     if (caller->state == TransactionState::kOpen) {
-      caller->transaction.idle_until =
-          now + table_.transaction_idle + kIdleSlack;
+      caller->transaction.idle_deadline =
+          now + route_table_.transaction_idle_timeout + kIdleTimeoutMargin;
     }
   }
-  const auto took = std::chrono::duration_cast<std::chrono::microseconds>(
-      now - request->arrived);
+  const auto latency = std::chrono::duration_cast<std::chrono::microseconds>(
+      now - request->arrived_at);
   ++(reply.ok() ? counters_.answered : counters_.failed);
   if (observer_ != nullptr) {
-    observer_->OnAnswer(*request->route, reply.error, took);
+    observer_->OnAnswer(*request->route, reply.error, latency);
   }
-  Event(events_, EventWeight::kRequest, "answered")
+  Event(events_, EventPriority::kRequest, "answered")
       .Add("request", request->statement_id)
       .Add("caller", request->caller)
       .Add("route", request->route->name)
       .Add("outcome", ErrorName(reply.error))
       .Add("database", request->database)
       .Add("attempts", request->attempts)
-      .Add("waited", request->sent == TimePoint()
-                         ? now - request->arrived
-                         : request->sent - request->arrived)
-      .Add("confirming", request->unconfirmed.has_value()
+      .Add("waited", request->sent_at == TimePoint()
+                         ? now - request->arrived_at
+                         : request->sent_at - request->arrived_at)
+      .Add("confirming", request->unconfirmed_reply.has_value()
                              ? now - request->committed_at
                              : now - now)
-      .Add("proving", request->unproved.has_value() ? now - request->kept_since
-                                                    : now - now)
-      .Add("took", now - request->arrived)
-      .Add("config_version", table_.version);
-  Forget(request);
-  if (caller != nullptr) Tell(*caller, reply);
+      .Add("proving", request->unproved_reply.has_value()
+                          ? now - request->proof_pending_since
+                          : now - now)
+      .Add("took", now - request->arrived_at)
+      .Add("config_version", route_table_.version);
+  RemoveRequest(request);
+  if (caller != nullptr) SendReply(*caller, reply);
 }
 
-void Proxy::Impl::Refuse(TimePoint now, Request* request, ErrorCode error,
-                         milliseconds retry_after, const std::string& why) {
+void Proxy::Impl::RefuseRequest(TimePoint now, Request* request,
+                                ErrorCode error, milliseconds retry_after,
+                                const std::string& why) {
   ++counters_.refused;
   const Group* group = GroupOf(*request);
   const DatabaseState* primary =
       group == nullptr ? nullptr : FindDatabase(group->primary);
-  Event(events_, EventWeight::kRequest, "refused")
+  Event(events_, EventPriority::kRequest, "refused")
       .Add("request", request->statement_id)
       .Add("primary", primary == nullptr ? "unknown" : primary->info.id)
       .Add("connections", primary == nullptr ? 0 : primary->pool.size())
@@ -341,13 +344,13 @@
       .Add("reason", why)
       .Add("attempts", request->attempts)
       .Add("last_error", ErrorName(request->last_error))
-      .Add("waited", now - request->arrived)
+      .Add("waited", now - request->arrived_at)
       .Add("retry_after", retry_after);
   Reply reply;
   reply.error = error;
   reply.error_text =
       why + " retry-after-ms=" + std::to_string(retry_after.count());
-  Finish(now, request, std::move(reply));
+  FinishRequest(now, request, std::move(reply));
 }
 
 void Proxy::Impl::OpenTransaction(Caller* caller, const Request& begin) {
@@ -355,8 +358,8 @@
   caller->transaction.route = begin.route;
 }
 
-/// The transaction cannot go on. The connection is given back at once; the
-/// caller learns of it with its next statement, or with the one under way.
+/// Marks the transaction as failed and releases its connection at once. The
+/// caller is notified by the reply to its pending or next statement.
 void Proxy::Impl::FailTransaction(TimePoint now, Caller* caller) {
   EndTransaction(now, caller, /*roll_back=*/true);
   caller->state = TransactionState::kFailed;
@@ -373,35 +376,36 @@
   caller->transaction = Transaction();
   Connection* connection = FindConnection(id);
   if (connection == nullptr) return;
-  connection->pinned = 0;
+  connection->pinned_caller = 0;
   if (!roll_back) return;
-  if (!connection->expected.empty()) {
-    // Something still runs in the transaction. Closing ends it at once, and
-    // the database rolls back.
+  if (!connection->pending_calls.empty()) {
+    // A statement of the transaction is still running. Closing the connection
+    // makes the database roll back at once.
     CloseConnection(now, connection);
     return;
   }
   BackendCall rollback;
   rollback.kind = CallKind::kRollback;
-  SendOwn(now, connection, {rollback}, {ExpectedKind::kEnd});
+  SendInternalCalls(now, connection, {rollback},
+                    {PendingCallKind::kProxyRollback});
 }
 
-void Proxy::Impl::CallerGone(TimePoint now, CallerId id) {
+void Proxy::Impl::CallerDisconnected(TimePoint now, CallerId id) {
   Caller* caller = FindCaller(id);
   if (caller == nullptr) return;
   Request* request = FindRequest(caller->request);
   if (request != nullptr) {
-    Event(events_, EventWeight::kRequest, "caller_left")
+    Event(events_, EventPriority::kRequest, "caller_left")
         .Add("request", request->statement_id)
         .Add("caller", id)
         .Add("database", request->database);
-    Forget(request);
+    RemoveRequest(request);
   }
   if (caller->state == TransactionState::kOpen) {
     EndTransaction(now, caller, /*roll_back=*/true);
   }
   callers_.erase(id);
-  revoked_.erase(id);
+  revoked_callers_.erase(id);
 }
 
 void Proxy::Impl::EndIdleTransactions(TimePoint now) {
@@ -409,8 +413,8 @@
     if (caller.state != TransactionState::kOpen || caller.request != 0) {
       continue;
     }
-    if (now < caller.transaction.idle_until) continue;
-    Event(events_, EventWeight::kRequest, "transaction_ended")
+    if (now < caller.transaction.idle_deadline) continue;
+    Event(events_, EventPriority::kRequest, "transaction_ended")
         .Add("caller", id)
         .Add("reason", "idle");
     FailTransaction(now, &caller);
@@ -425,20 +429,21 @@
   DrainCallers(now);
 }
 
-/// Ends what has nothing under way, so that callers come back elsewhere.
+/// Closes idle sessions, so that their callers reconnect to another instance.
 void Proxy::Impl::DrainCallers(TimePoint now) {
   std::vector<CallerId> ended;
   for (auto& [id, caller] : callers_) {
     const bool idle =
         caller.request == 0 && caller.state == TransactionState::kIdle;
-    const bool late = now >= transactions_until_ && caller.request == 0;
-    if (idle || late || now >= drain_end_) ended.push_back(id);
+    const bool past_deadline =
+        now >= transactions_until_ && caller.request == 0;
+    if (idle || past_deadline || now >= drain_end_) ended.push_back(id);
   }
   for (const CallerId id : ended) {
     const bool open = callers_.at(id).state == TransactionState::kOpen;
     const bool adopted = callers_.at(id).adopted;
-    CallerGone(now, id);
-    if (adopted) continue;  // told with its next statement
+    CallerDisconnected(now, id);
+    if (adopted) continue;  // The reply to its next statement reports the end.
     port_->CloseCaller(id, open ? ErrorCode::kAborted : ErrorCode::kNone,
                        "instance is leaving");
   }
--- a/src/ryefoldd/forwarding_host.cc
+++ b/src/ryefoldd/forwarding_host.cc
@@ -9,7 +9,7 @@
 namespace {
 
 using core::Event;
-using core::EventWeight;
+using core::EventPriority;
 using core::session::CallerId;
 using core::session::ForwardedStatement;
 using core::session::ForwardId;
@@ -19,7 +19,7 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 using task::BootTime;
-using task::OnSteadyClock;
+using task::ToSteadyClock;
 
 /// Time for a release to arrive. Lost, the keeper ends the transaction when it
 /// has been idle for its time.
@@ -42,7 +42,7 @@
 
 void ForwardingHost::Forward(ForwardId call, const std::string& keeper,
                              const ForwardedStatement& statement,
-                             const core::session::ForwardTerms& terms) {
+                             const core::session::ForwardTimeouts& terms) {
   wire::PeerClient* peer = peers_->To(keeper);
   if (peer == nullptr) {
     loop_->Post([this, call] {
@@ -51,9 +51,9 @@
     return;
   }
   wire::CallTerms call_terms;
-  call_terms.deadline = OnSteadyClock(terms.deadline);
-  call_terms.alive_by = OnSteadyClock(terms.alive_by);
-  call_terms.lost_in_silence = terms.lost_in_silence;
+  call_terms.deadline = ToSteadyClock(terms.deadline);
+  call_terms.alive_by = ToSteadyClock(terms.send_by);
+  call_terms.lost_in_silence = terms.fail_if_unreachable;
   Sent& sent = sent_[call];
   sent.keeper = keeper;
   sent.stream = peer->Call(
@@ -76,7 +76,7 @@
   wire::PeerClient* peer = peers_->To(instance);
   if (peer == nullptr) return tell(false);
   wire::CallTerms terms;
-  terms.deadline = OnSteadyClock(deadline);
+  terms.deadline = ToSteadyClock(deadline);
   terms.alive_by = terms.deadline;
   peer->Call(std::string(wire::kPeerSessionAlive), {}, terms,
              [tell](const wire::PeerResult& result) {
@@ -122,14 +122,14 @@
   std::optional<ForwardedStatement> statement =
       wire::ReadForwarded(call.body());
   if (!statement.has_value()) {
-    Event(events_, EventWeight::kState, "forwarded_unreadable")
+    Event(events_, EventPriority::kState, "forwarded_unreadable")
         .Add("bytes", call.body().size());
     call.Refuse();
     return;
   }
-  const core::session::AdoptedSessions::Entry entry =
-      adopted_.Enter(statement->session, statement->in_transaction);
-  if (entry.abandoned != 0) GiveUp(entry.abandoned);
+  const core::session::AdoptedSessions::AdoptedStatement entry =
+      adopted_.Register(statement->session, statement->in_transaction);
+  if (entry.superseded_caller != 0) GiveUp(entry.superseded_caller);
   const CallerId caller = entry.caller;
   calls_.insert_or_assign(caller, call);
   call.OnGone([this, caller, number = entry.statement] {
@@ -142,7 +142,10 @@
 /// The instance that waits for the answer is gone or has given up. Nobody else
 /// can go on with the session.
 void ForwardingHost::OnGone(CallerId caller, uint64_t statement) {
-  if (!adopted_.Current(caller, statement) || calls_.count(caller) == 0) return;
+  if (!adopted_.IsNewestStatement(caller, statement) ||
+      calls_.count(caller) == 0) {
+    return;
+  }
   adopted_.Erase(caller);
   GiveUp(caller);
   Turn();
@@ -160,7 +163,7 @@
 
 void ForwardingHost::GiveUp(CallerId caller) {
   calls_.erase(caller);
-  proxy_->CallerGone(BootTime(), caller);
+  proxy_->CallerDisconnected(BootTime(), caller);
 }
 
 void ForwardingHost::AnswerForwarded(CallerId caller, const Reply& reply) {
@@ -171,7 +174,8 @@
   call.Reply(wire::WriteForwardedReply(reply));
   if (reply.state == TransactionState::kOpen) return;
   adopted_.Erase(caller);
-  loop_->Post([this, caller] { proxy_->CallerGone(BootTime(), caller); });
+  loop_->Post(
+      [this, caller] { proxy_->CallerDisconnected(BootTime(), caller); });
 }
 
 }  // namespace ryefold::ryefoldd
--- a/src/ryefoldd/gateway_failover.cc
+++ b/src/ryefoldd/gateway_failover.cc
@@ -36,7 +36,7 @@
       coordinator_(core::failover::CoordinatorTiming(), &promotion_, this,
                    surroundings_.events) {
   duty_.Attach(&election_);
-  duty_.OnTurn([this] { ArmElection(); });
+  duty_.SetEventCallback([this] { ArmElection(); });
   Observe();
 }
 
@@ -48,7 +48,7 @@
 void GatewayFailover::OnItems(const core::mirror::EntryMap& items,
                               const core::mirror::EntryMap& changed,
                               uint64_t as_of) {
-  duty_.OnItems(items, changed, as_of);
+  duty_.OnEntriesChanged(items, changed, as_of);
   for (const auto& [key, item] : changed) {
     const auto order = platform::DecodeOrder(item);
     if (!order.has_value()) continue;
@@ -60,7 +60,7 @@
 void GatewayFailover::SetInstances(
     const std::vector<core::session::KeeperCandidate>& instances) {
   election_.SetRank(
-      core::session::RankAmong("promotion", instance_, instances));
+      core::session::RendezvousRank("promotion", instance_, instances));
 }
 
 void GatewayFailover::Retire() { election_.Retire(BootTime()); }
@@ -80,7 +80,7 @@
 }
 
 void GatewayFailover::ReplaceToken(const std::string& reason) {
-  election_.Renounce(BootTime(), reason);
+  election_.Resign(BootTime(), reason);
   ArmElection();
 }
 
@@ -99,9 +99,9 @@
   const core::TimePoint now = BootTime();
   const std::optional<uint64_t> token = election_.token(now);
   if (token.has_value()) {
-    coordinator_.Observe(now, surroundings_.proxy->groups(now), token);
+    coordinator_.EvaluateGroups(now, surroundings_.proxy->groups(now), token);
   } else {
-    coordinator_.Observe(now, {}, token);
+    coordinator_.EvaluateGroups(now, {}, token);
   }
   surroundings_.flush();
   observe_timer_ = surroundings_.loop->At(steady_clock::now() + kObservePace,
--- a/src/ryefoldd/gateway_task.cc
+++ b/src/ryefoldd/gateway_task.cc
@@ -33,7 +33,7 @@
 namespace {
 
 using core::Event;
-using core::EventWeight;
+using core::EventPriority;
 using std::chrono::milliseconds;
 using task::BootTime;
 
@@ -77,7 +77,7 @@
     proxy_ = std::make_unique<core::session::Proxy>(proxy, gateway_.get(),
                                                     events_.get(), &metrics_);
     gateway_->Attach(proxy_.get());
-    gateway_->OnTurn([this] { Rearm(); });
+    gateway_->SetBatchCallback([this] { Rearm(); });
     StartPeers();
     StartStore();
     StartFailover();
@@ -88,14 +88,14 @@
     StartSignals();
     timer_ = event_new(loop->base(), -1, 0, OnTimer, this);
     Rearm();
-    Event(events_.get(), EventWeight::kState, "started")
+    Event(events_.get(), EventPriority::kState, "started")
         .Add("failure_domain", settings_.failure_domain)
         .Add("sessions", settings_.session_address)
         .Add("store", settings_.store_address);
   }
 
   void Stop() {
-    Event(events_.get(), EventWeight::kState, "stopped")
+    Event(events_.get(), EventPriority::kState, "stopped")
         .Add("callers", proxy_->callers());
     if (timer_ != nullptr) event_free(timer_);
     for (event* signal : signals_) event_free(signal);
@@ -142,8 +142,8 @@
                const core::mirror::EntryMap& changed) {
           // First who there is: it decides who opens connections to the
           // databases that are told next.
-          if (members_ != nullptr) members_->OnItems(changed);
-          directory_->OnItems(items, changed);
+          if (members_ != nullptr) members_->OnEntriesChanged(changed);
+          directory_->OnEntriesChanged(items, changed);
           if (limits_ != nullptr) limits_->OnItems(items, changed);
           failover_->OnItems(items, changed, mirror_->as_of());
           gateway_->Flush();
@@ -156,18 +156,18 @@
     });
   }
 
-  core::mirror::WatchPace PaceAfter(
+  core::mirror::WatchUrgency PaceAfter(
       const core::mirror::EntryMap& changed) const {
     // Who takes the vacant duty has to be heard of at once, or every instance
     // would reach for it.
     if (changed.count(platform::kHolderKey) > 0) {
-      return core::mirror::WatchPace::kAtOnce;
+      return core::mirror::WatchUrgency::kImmediate;
     }
     // After a restart beside a store that has lost the databases' entries
     // callers wait for these to come back. In a first start nobody does.
     const bool hurry = !settings_.first_start && proxy_->LacksDatabases();
-    return hurry ? core::mirror::WatchPace::kHurried
-                 : core::mirror::WatchPace::kUsual;
+    return hurry ? core::mirror::WatchUrgency::kUrgent
+                 : core::mirror::WatchUrgency::kNormal;
   }
 
   void StartFailover() {
@@ -195,8 +195,8 @@
       Rearm();
     };
     limits_ = std::make_unique<LimitsHost>(
-        core::limits::Granter{settings_.name, settings_.peer_address,
-                              settings_.failure_domain},
+        core::limits::ShardOwner{settings_.name, settings_.peer_address,
+                                 settings_.failure_domain},
         std::move(surroundings));
     proxy_->SetLimiter(limits_->limiter());
   }
@@ -217,7 +217,7 @@
     std::map<std::string, std::string> addresses;
     std::vector<core::session::KeeperCandidate> candidates;
     std::vector<core::mirror::Member> members;
-    std::vector<core::limits::Granter> granters;
+    std::vector<core::limits::ShardOwner> granters;
     instances_.clear();
     for (const platform::Instance& instance : instances) {
       instances_.push_back(instance.name);
@@ -259,7 +259,7 @@
   void Listen(const std::function<std::string()>& attempt, int tries) {
     const std::string error = attempt();
     if (error.empty()) return;
-    Event(events_.get(), EventWeight::kState, "listen_failed")
+    Event(events_.get(), EventPriority::kState, "listen_failed")
         .Add("error", error)
         .Add("tries", static_cast<uint64_t>(tries) + 1);
     if (tries + 1 >= kListenTries) throw std::runtime_error(error);
@@ -322,7 +322,7 @@
     } else if (exchange.path() == "/metrics") {
       metrics_.Update(proxy_->groups(BootTime()), proxy_->counters(),
                       proxy_->callers(), proxy_->route_version(),
-                      events_->left_out(), store_->calls(), CopyAge());
+                      events_->dropped_lines(), store_->calls(), CopyAge());
       metrics_.UpdateWorkspaces(Workspaces());
       reply.body = metrics_.Text();
       reply.content_type = "text/plain; version=0.0.4";
@@ -368,7 +368,7 @@
   /// Settings changed. Addresses and names are fixed for the life of the
   /// process, so a reload only tells whether the file can be read.
   void Reload() {
-    Event(events_.get(), EventWeight::kState, "reload")
+    Event(events_.get(), EventPriority::kState, "reload")
         .Add("settings", settings_path_);
   }
 
@@ -378,7 +378,7 @@
     failover_->Retire();
     if (members_ != nullptr) members_->Leave();
     mirror_->Retire();
-    Event(events_.get(), EventWeight::kState, "drain_begin")
+    Event(events_.get(), EventPriority::kState, "drain_begin")
         .Add("callers", proxy_->callers())
         .Add("grace", settings_.stop_grace);
     const auto start = std::chrono::steady_clock::now();
@@ -398,7 +398,7 @@
 
   void AwaitDrained(core::TimePoint end) {
     if (proxy_->drained() || BootTime() >= end) {
-      Event(events_.get(), EventWeight::kState, "drain_end")
+      Event(events_.get(), EventPriority::kState, "drain_end")
           .Add("callers", proxy_->callers());
       gateway_->StopListening();
       stopped_();
--- a/src/ryefoldd/limits_host.cc
+++ b/src/ryefoldd/limits_host.cc
@@ -12,22 +12,22 @@
 namespace {
 
 using core::Event;
-using core::EventWeight;
+using core::EventPriority;
 using core::limits::AllowanceAnswer;
 using core::limits::AllowanceRequest;
-using core::limits::Granter;
+using core::limits::ShardOwner;
 using core::limits::ShardTable;
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 using task::BootTime;
-using task::OnSteadyClock;
+using task::ToSteadyClock;
 
 /// Pace at which the writer of the table looks whether another one is due.
 constexpr milliseconds kMaintainPace{1000};
 
 }  // namespace
 
-LimitsHost::LimitsHost(const Granter& self, Surroundings surroundings)
+LimitsHost::LimitsHost(const ShardOwner& self, Surroundings surroundings)
     : surroundings_(std::move(surroundings)),
       shards_(surroundings_.store),
       ledger_(BootTime(), self),
@@ -51,9 +51,9 @@
     limiter_.SetConfiguration(version, workspaces);
     ledger_.Retain(workspaces);
   }
-  if (!shards_.OnItems(items, changed)) return;
+  if (!shards_.OnEntriesChanged(items, changed)) return;
   const ShardTable table = shards_.table().value_or(ShardTable());
-  Event(surroundings_.events, EventWeight::kState, "limit_owners_known")
+  Event(surroundings_.events, EventPriority::kState, "limit_owners_known")
       .Add("table", table.number)
       .Add("shards", table.shards.size());
   ledger_.SetTable(now, table);
@@ -61,7 +61,7 @@
   assigner_.SetTable(now, shards_.table());
 }
 
-void LimitsHost::SetInstances(const std::vector<Granter>& instances) {
+void LimitsHost::SetInstances(const std::vector<ShardOwner>& instances) {
   assigner_.SetInstances(BootTime(), instances);
 }
 
@@ -70,29 +70,29 @@
                                   [this] { Maintain(); });
   if (!surroundings_.proxy->workspaces().keys_required()) return;
   if (!surroundings_.holds_duty()) return;
-  const std::optional<ShardTable> due = assigner_.Due(BootTime());
+  const std::optional<ShardTable> due = assigner_.NextTable(BootTime());
   if (!due.has_value()) return;
-  Event(surroundings_.events, EventWeight::kState, "limit_owners_assigned")
+  Event(surroundings_.events, EventPriority::kState, "limit_owners_assigned")
       .Add("table", due->number)
       .Add("shards", due->shards.size());
   shards_.Write(*due);
 }
 
-void LimitsHost::AskOwner(uint64_t call, const Granter& owner,
-                          const AllowanceRequest& request,
-                          core::TimePoint deadline) {
+void LimitsHost::RequestAllowance(uint64_t call, const ShardOwner& owner,
+                                  const AllowanceRequest& request,
+                                  core::TimePoint deadline) {
   wire::PeerClient* peer = surroundings_.peers->To(owner.instance);
   if (peer == nullptr) {
     surroundings_.loop->Post([this, call] { Answered(call, {}); });
     return;
   }
   wire::CallTerms terms;
-  terms.deadline = OnSteadyClock(deadline);
+  terms.deadline = ToSteadyClock(deadline);
   terms.alive_by = terms.deadline;
   peer->Call(std::string(wire::kPeerAllowance),
              wire::WriteAllowanceRequest(request), terms,
              [this, call](const wire::PeerResult& result) {
-               // Never from within `AskOwner`.
+               // Never from within `RequestAllowance`.
                surroundings_.loop->Post(
                    [this, call, result] { Answered(call, result); });
              });
@@ -103,7 +103,7 @@
   if (result.status == wire::CallStatus::kOk) {
     answer = wire::ReadAllowanceAnswer(result.body);
   }
-  limiter_.Answered(BootTime(), call, answer);
+  limiter_.AllowanceAnswered(BootTime(), call, answer);
   surroundings_.turn();
 }
 
@@ -111,7 +111,7 @@
   std::optional<AllowanceRequest> request =
       wire::ReadAllowanceRequest(call.body());
   if (!request.has_value()) {
-    Event(surroundings_.events, EventWeight::kState,
+    Event(surroundings_.events, EventPriority::kState,
           "allowance_request_unreadable")
         .Add("bytes", call.body().size());
     call.Refuse();
--- a/testsuite/group_outcomes/at_most_once_test.cc
+++ b/testsuite/group_outcomes/at_most_once_test.cc
@@ -1,4 +1,4 @@
-// Lost answers, repeats, and what a session may see.
+// Lost answers, repeated requests, and what a session may read.
 
 #include <gtest/gtest.h>
 
@@ -11,8 +11,9 @@
 using core::Reason;
 using std::chrono::seconds;
 
-// The connection breaks after a work order ran and before its answer came. The
-// keeper must not send it again; the primary's record tells that it was done.
+// The connection breaks after a write ran and before its answer arrived. The
+// keeper must not send the write again; the primary's record shows that it is
+// done.
 TEST(AtMostOnce, ALostAnswerIsFoundInTheRecordWithoutSendingAgain) {
   auto group = ReadyGroup();
   group->keeper(0).network().lose_answer = 1;
@@ -22,35 +23,35 @@
   group->keeper(0).network().lose_answer = 0;
   group->time().RunFor(milliseconds(300));
   EXPECT_EQ(group->keeper(0).executes, before + 1);
-  ASSERT_TRUE(group->asked(write).answer.has_value());
-  EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kDone);
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  ASSERT_TRUE(group->sent(write).answer.has_value());
+  EXPECT_EQ(group->sent(write).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
-// The keeper freezes with a caller's write in its queue; the caller gives up,
-// asks another keeper, which fences the id. The first one wakes and sends the
-// write after all.
-TEST(AtMostOnce, AFencedWriteThatASleepingKeeperSendsLateIsRefused) {
+// A keeper freezes with a write in its queue. The caller asks another keeper,
+// which fences the request id; then the first keeper resumes and sends the
+// write.
+TEST(AtMostOnce, AFencedWriteThatAFrozenKeeperSendsLateIsRefused) {
   auto group = ReadyGroup();
   group->AddKeeper();
   group->time().RunFor(seconds(1));
   group->FreezeKeeper(0);
   const auto write = group->Send(0, group->Write(seconds(10)));
-  const std::string id = group->asked(write).request.request_id;
+  const std::string id = group->sent(write).request.request_id;
   group->time().RunFor(seconds(1));
   const auto settle = group->Settle(1, id, seconds(1));
   group->time().RunFor(milliseconds(100));
-  ASSERT_TRUE(group->asked(settle).answer.has_value());
-  EXPECT_EQ(group->asked(settle).answer->reason(), Reason::kFenced);
+  ASSERT_TRUE(group->sent(settle).answer.has_value());
+  EXPECT_EQ(group->sent(settle).answer->reason(), Reason::kFenced);
   group->keeper(0).Thaw();
   group->time().RunFor(seconds(1));
-  ASSERT_TRUE(group->asked(write).answer.has_value());
-  EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kNotRun);
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  ASSERT_TRUE(group->sent(write).answer.has_value());
+  EXPECT_EQ(group->sent(write).answer->kind(), OutcomeKind::kNotRun);
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
-// A caller that knows nothing of its first sending repeats it through another
-// keeper.
+// The caller repeats a request through another keeper while the first attempt
+// is still running.
 TEST(AtMostOnce, ARepeatThroughAnotherKeeperIsAnsweredFromTheRecord) {
   auto group = ReadyGroup();
   group->AddKeeper();
@@ -59,17 +60,17 @@
   const auto first = group->Send(0, request);
   const auto second = group->Send(1, request, {}, /*repeat=*/true);
   group->time().RunFor(milliseconds(100));
-  EXPECT_EQ(group->asked(first).answer->kind(), OutcomeKind::kDone);
-  EXPECT_EQ(group->asked(second).answer->kind(), OutcomeKind::kDone);
-  EXPECT_EQ(group->asked(first).answer->seen(),
-            group->asked(second).answer->seen());
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  EXPECT_EQ(group->sent(first).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(group->sent(second).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(group->sent(first).answer->seen(),
+            group->sent(second).answer->seen());
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
-// A keeper that sees only the cut-off primary has a write run there, where no
-// replica confirms it. Its caller repeats it through another keeper, under the
-// new primary. When the first keeper learns that its entry was discarded, the
-// write itself was done all the same: "not run" would have it ordered again.
+// A keeper that reaches only the partitioned primary runs a write there, which
+// no replica confirms. The caller repeats it through another keeper under the
+// new primary. When the first keeper finds its entry discarded, it must not
+// answer "not run": the caller would issue the write a second time.
 TEST(AtMostOnce, ADiscardedWriteThatWasRepeatedElsewhereIsDone) {
   auto group = ReadyGroup();
   group->AddKeeper();
@@ -82,15 +83,15 @@
   group->time().RunFor(seconds(3));
   const auto second = group->Send(1, request, {}, /*repeat=*/true);
   group->time().RunFor(milliseconds(100));
-  ASSERT_TRUE(group->asked(second).answer.has_value());
-  EXPECT_EQ(group->asked(second).answer->kind(), OutcomeKind::kDone);
-  EXPECT_FALSE(group->asked(first).answer.has_value());
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
-  ASSERT_TRUE(group->asked(first).answer.has_value());
-  EXPECT_EQ(group->asked(first).answer->kind(), OutcomeKind::kDone);
+  ASSERT_TRUE(group->sent(second).answer.has_value());
+  EXPECT_EQ(group->sent(second).answer->kind(), OutcomeKind::kDone);
+  EXPECT_FALSE(group->sent(first).answer.has_value());
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
+  ASSERT_TRUE(group->sent(first).answer.has_value());
+  EXPECT_EQ(group->sent(first).answer->kind(), OutcomeKind::kDone);
 }
 
-// A statement outlives its caller's patience. Its answer must not reach the
+// A statement runs past its caller's deadline. Its answer must not reach the
 // next caller on the same connection.
 TEST(NoMixing, AConnectionWithAnUnfinishedStatementIsClosed) {
   auto group = ReadyGroup();
@@ -98,20 +99,20 @@
   const uint64_t opened = group->keeper(0).opens;
   const auto slow = group->Send(0, group->Write(milliseconds(100)));
   group->time().RunFor(milliseconds(150));
-  ASSERT_TRUE(group->asked(slow).answer.has_value());
-  EXPECT_EQ(group->asked(slow).answer->kind(), OutcomeKind::kUnknown);
+  ASSERT_TRUE(group->sent(slow).answer.has_value());
+  EXPECT_EQ(group->sent(slow).answer->kind(), OutcomeKind::kUnknown);
   (*group)["a"].stall = Duration{0};
   const auto next = group->Send(0, group->Write(seconds(1)));
   group->time().RunFor(milliseconds(500));
-  EXPECT_EQ(group->asked(next).answer->result_json(),
-            group->asked(next).request.request_id);
+  EXPECT_EQ(group->sent(next).answer->result_json(),
+            group->sent(next).request.request_id);
   EXPECT_EQ(group->keeper(0).opens, opened + 1);
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
-// The primary was replaced while a transaction was open on it. Its commit is
-// refused, and nobody knows what the connection still carries: a later
-// statement on it could become part of the old transaction.
+// The primary is replaced while a transaction is open on it, and the commit is
+// refused. The state of the connection is unknown: a later statement on it
+// could become part of the old transaction.
 TEST(NoMixing, AConnectionOfATransactionInDoubtIsClosed) {
   auto group = ReadyGroup();
   core::StatementRequest request = group->Write(seconds(1));
@@ -123,18 +124,18 @@
                         [](const core::ControlAnswer& /*answer*/) {});
   request = group->Write(seconds(1));
   request.step = core::Step::kCommit;
-  request.transaction = group->asked(begin).answer->transaction();
+  request.transaction = group->sent(begin).answer->transaction();
   const auto commit = group->Send(0, request);
   group->time().RunFor(milliseconds(20));
-  ASSERT_TRUE(group->asked(commit).answer.has_value());
-  EXPECT_EQ(group->asked(commit).answer->kind(), OutcomeKind::kNotRun);
-  EXPECT_EQ(group->asked(commit).answer->reason(), Reason::kTransactionLost);
+  ASSERT_TRUE(group->sent(commit).answer.has_value());
+  EXPECT_EQ(group->sent(commit).answer->kind(), OutcomeKind::kNotRun);
+  EXPECT_EQ(group->sent(commit).answer->reason(), Reason::kTransactionLost);
   EXPECT_EQ((*group)["a"].connections(), connections - 1);
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
-// A session read an unacknowledged write on the primary, and a promotion then
-// discarded it. A read that waited for that position would wait for ever.
+// A session read an unacknowledged write on the primary, which a promotion then
+// discarded. A read that requires that position would never be served.
 TEST(Sessions, APositionThatAPromotionDiscardedIsCutBack) {
   auto group = ReadyGroup();
   (*group)["a"].peers_cut = true;
@@ -146,13 +147,13 @@
   const auto read =
       group->Send(0, group->Read("x", seconds(1), seen, seconds(5)));
   group->time().RunFor(milliseconds(50));
-  ASSERT_TRUE(group->asked(read).answer.has_value());
-  EXPECT_EQ(group->asked(read).answer->kind(), OutcomeKind::kDone);
+  ASSERT_TRUE(group->sent(read).answer.has_value());
+  EXPECT_EQ(group->sent(read).answer->kind(), OutcomeKind::kDone);
 }
 
-// One keeper sees only the old primary, another has promoted a replica. The
-// first cannot know; a read that accepts no age must not be served by what it
-// takes for the primary, or a gate lets in a card that was just revoked.
+// One keeper reaches only the old primary while another has promoted a replica.
+// The first cannot detect that, so a read with max_age 0 must not be served by
+// the old primary: it would miss writes acknowledged by the new one.
 TEST(Sessions, AReplacedPrimaryServesNoReadOfAgeZero) {
   auto group = ReadyGroup();
   group->AddKeeper();
@@ -163,31 +164,31 @@
   group->time().RunFor(seconds(3));
   const auto write = group->Send(1, group->Write(seconds(1)));
   group->time().RunFor(milliseconds(100));
-  ASSERT_EQ(group->asked(write).answer->kind(), OutcomeKind::kDone);
+  ASSERT_EQ(group->sent(write).answer->kind(), OutcomeKind::kDone);
   const auto read =
-      group->Send(0, group->Read(group->asked(write).request.sql, seconds(1),
-                                 {}, milliseconds(0)));
+      group->Send(0, group->Read(group->sent(write).request.sql, seconds(1), {},
+                                 milliseconds(0)));
   group->time().RunFor(seconds(2));
-  ASSERT_TRUE(group->asked(read).answer.has_value());
-  EXPECT_EQ(group->asked(read).answer->kind(), OutcomeKind::kNotRun);
+  ASSERT_TRUE(group->sent(read).answer.has_value());
+  EXPECT_EQ(group->sent(read).answer->kind(), OutcomeKind::kNotRun);
 }
 
-// One replica is seconds behind. Reads go to the other and nobody waits.
-TEST(Sessions, OneReplicaFarBehindHurtsNobody) {
+// One replica lags by seconds. Reads go to the other one without delay.
+TEST(Sessions, OneReplicaFarBehindDelaysNoRead) {
   auto group = ReadyGroup();
   (*group)["b"].shape().lag = seconds(10);
   const uint64_t before = group->keeper(0).executes;
   for (int i = 0; i < 50; ++i) {
     const auto write = group->Send(0, group->Write(seconds(1)));
     group->time().RunFor(milliseconds(20));
-    ASSERT_EQ(group->asked(write).answer->kind(), OutcomeKind::kDone);
+    ASSERT_EQ(group->sent(write).answer->kind(), OutcomeKind::kDone);
     const auto read = group->Send(
-        0, group->Read(group->asked(write).request.sql, seconds(1),
-                       group->asked(write).answer->seen(), seconds(5)));
+        0, group->Read(group->sent(write).request.sql, seconds(1),
+                       group->sent(write).answer->seen(), seconds(5)));
     group->time().RunFor(milliseconds(20));
-    ASSERT_TRUE(group->asked(read).answer.has_value());
-    EXPECT_TRUE(group->asked(read).answer->result_json().ends_with(" yes"));
-    EXPECT_EQ(group->asked(read).answer->database(), "c");
+    ASSERT_TRUE(group->sent(read).answer.has_value());
+    EXPECT_TRUE(group->sent(read).answer->result_json().ends_with(" yes"));
+    EXPECT_EQ(group->sent(read).answer->database(), "c");
   }
   EXPECT_EQ(group->keeper(0).executes, before + 100);
 }
--- a/testsuite/group_outcomes/slow_replicas_test.cc
+++ b/testsuite/group_outcomes/slow_replicas_test.cc
@@ -1,4 +1,4 @@
-// Writes that wait for replicas, and reads whose replica goes away.
+// Writes that wait for replicas, and reads whose replica fails.
 
 #include <gtest/gtest.h>
 
@@ -11,8 +11,8 @@
 using core::Reason;
 using std::chrono::seconds;
 
-// Both replicas are half a second behind. Writes that wait for them must not
-// keep the primary's few slots busy, or everybody else would wait too.
+// Both replicas lag by half a second. Writes that wait for them must not occupy
+// the primary's few slots, or all other requests would wait as well.
 TEST(SlowReplicas, AWriteWaitingForThemHoldsNoSlot) {
   auto group = ReadyGroup();
   (*group)["b"].shape().lag = milliseconds(500);
@@ -31,14 +31,13 @@
   }
   group->time().RunFor(seconds(1));
   for (const uint64_t write : writes) {
-    ASSERT_TRUE(group->asked(write).answer.has_value());
-    EXPECT_EQ(group->asked(write).answer->kind(), OutcomeKind::kDone);
+    ASSERT_TRUE(group->sent(write).answer.has_value());
+    EXPECT_EQ(group->sent(write).answer->kind(), OutcomeKind::kDone);
   }
 }
 
-// Replicas are further behind than callers can wait. The first learns at its
-// deadline that the outcome is unknown; those after it are told beforehand,
-// while nothing has been sent.
+// Replicas lag longer than callers can wait. The first write ends with an
+// unknown outcome at its deadline; later ones are refused before they are sent.
 TEST(SlowReplicas, AWriteThatCannotBeConfirmedInTimeIsRefusedBeforehand) {
   auto group = ReadyGroup();
   (*group)["b"].shape().lag = milliseconds(600);
@@ -46,28 +45,28 @@
   const auto first = group->Send(0, group->Write(milliseconds(300)));
   group->time().RunFor(milliseconds(200));
   const auto next = group->Send(0, group->Write(milliseconds(150)));
-  ASSERT_TRUE(group->asked(next).answer.has_value());
-  EXPECT_EQ(group->asked(next).answer->kind(), OutcomeKind::kNotRun);
-  EXPECT_EQ(group->asked(next).answer->reason(), Reason::kConfirmationSlow);
+  ASSERT_TRUE(group->sent(next).answer.has_value());
+  EXPECT_EQ(group->sent(next).answer->kind(), OutcomeKind::kNotRun);
+  EXPECT_EQ(group->sent(next).answer->reason(), Reason::kConfirmationSlow);
   group->time().RunFor(milliseconds(110));
-  ASSERT_TRUE(group->asked(first).answer.has_value());
-  EXPECT_EQ(group->asked(first).answer->kind(), OutcomeKind::kUnknown);
-  EXPECT_EQ(group->asked(first).answer->reason(), Reason::kConfirmationSlow);
-  EXPECT_LE(group->asked(first).answered_at,
-            group->asked(first).request.deadline);
-  EXPECT_EQ(Text(group->HealAndCheck()), "");
+  ASSERT_TRUE(group->sent(first).answer.has_value());
+  EXPECT_EQ(group->sent(first).answer->kind(), OutcomeKind::kUnknown);
+  EXPECT_EQ(group->sent(first).answer->reason(), Reason::kConfirmationSlow);
+  EXPECT_LE(group->sent(first).answered_at,
+            group->sent(first).request.deadline);
+  EXPECT_EQ(JoinLines(group->HealAndCheck()), "");
 }
 
-// A replica dies with a read under way. Another can answer it.
+// A replica dies with a read in flight. Another one can answer it.
 TEST(SlowReplicas, AReadOnADyingReplicaIsServedByAnother) {
   auto group = ReadyGroup();
   const auto read =
       group->Send(0, group->Read("x", seconds(1), {}, seconds(5)));
   group->Kill("b");
   group->time().RunFor(milliseconds(50));
-  ASSERT_TRUE(group->asked(read).answer.has_value());
-  EXPECT_EQ(group->asked(read).answer->kind(), OutcomeKind::kDone);
-  EXPECT_EQ(group->asked(read).answer->database(), "c");
+  ASSERT_TRUE(group->sent(read).answer.has_value());
+  EXPECT_EQ(group->sent(read).answer->kind(), OutcomeKind::kDone);
+  EXPECT_EQ(group->sent(read).answer->database(), "c");
 }
 
 }  // namespace
--- a/testsuite/session_watermarks/watermarks_test.cc
+++ b/testsuite/session_watermarks/watermarks_test.cc
@@ -17,25 +17,25 @@
   marks.Record(At(0), {1, 10});
   marks.Record(At(100), {1, 20});
   marks.Record(At(200), {1, 30});
-  EXPECT_EQ(marks.Covering(At(50))->position, (LogPosition{1, 20}));
-  EXPECT_EQ(marks.Covering(At(200))->position, (LogPosition{1, 30}));
-  EXPECT_FALSE(marks.Covering(At(201)).has_value());
+  EXPECT_EQ(marks.OldestSince(At(50))->position, (LogPosition{1, 20}));
+  EXPECT_EQ(marks.OldestSince(At(200))->position, (LogPosition{1, 30}));
+  EXPECT_FALSE(marks.OldestSince(At(201)).has_value());
 }
 
-// A promotion discards what the new primary had not received. A read that
-// asked for a discarded position would be refused by every database, and the
-// caller would get nothing until its own position had been forgotten.
-TEST(Watermarks, ForgetsPositionsThatAPromotionMayHaveDiscarded) {
+// A promotion discards what the new primary had not received. Every database
+// would reject a read that requires a discarded position, and the caller would
+// get no answer until its own position had been dropped.
+TEST(Watermarks, DropsPositionsThatAPromotionMayHaveDiscarded) {
   Watermarks marks;
   marks.Record(At(0), {1, 500});
   marks.Record(At(100), {2, 498});
-  EXPECT_EQ(marks.Covering(At(0))->position, (LogPosition{2, 498}));
-  EXPECT_EQ(marks.Current({1, 500}), (LogPosition{2, 498}));
-  EXPECT_EQ(marks.Current({2, 510}), (LogPosition{2, 510}));
+  EXPECT_EQ(marks.OldestSince(At(0))->position, (LogPosition{2, 498}));
+  EXPECT_EQ(marks.RequiredPosition({1, 500}), (LogPosition{2, 498}));
+  EXPECT_EQ(marks.RequiredPosition({2, 510}), (LogPosition{2, 510}));
 }
 
-// The answer of a replaced primary can arrive after its successor's. Taking
-// it would let reads miss what the successor has committed since.
+// The answer of a replaced primary can arrive after its successor's. If it were
+// accepted, reads would miss later commits of the successor.
 TEST(Watermarks, IgnoresALateMarkOfAnOlderTerm) {
   Watermarks marks;
   marks.Record(At(100), {2, 5});
@@ -43,16 +43,16 @@
   EXPECT_EQ(marks.newest()->position, (LogPosition{2, 5}));
 }
 
-// How far a replica is behind is read off the position in its answers. It
-// must never look fresher than it is: reads would be sent to it in vain.
+// The lag of a replica is derived from the position in its answers. It must
+// never be underestimated: reads would be sent to the replica and rejected.
 TEST(Watermarks, BoundsHowFarALogIsBehind) {
   Watermarks marks;
   marks.Record(At(0), {1, 10});
   marks.Record(At(100), {1, 20});
   marks.Record(At(200), {1, 30});
-  EXPECT_EQ(marks.Behind(At(250), {1, 30}), milliseconds(50));
-  EXPECT_EQ(marks.Behind(At(250), {1, 29}), milliseconds(150));
-  EXPECT_FALSE(marks.Behind(At(250), {1, 9}).has_value());
+  EXPECT_EQ(marks.LagBound(At(250), {1, 30}), milliseconds(50));
+  EXPECT_EQ(marks.LagBound(At(250), {1, 29}), milliseconds(150));
+  EXPECT_FALSE(marks.LagBound(At(250), {1, 9}).has_value());
 }
 
 struct Commit {
@@ -61,23 +61,23 @@
 };
 
 RC_GTEST_PROP(WatermarksProperty, CoversEveryCommitBeforeTheMoment, ()) {
-  // A primary commits at random moments and is asked at random moments; the
-  // mark for any moment holds all commits from before it.
+  // A primary commits and is asked for its position at random times; the mark
+  // for any time includes all earlier commits.
   Watermarks marks;
   std::vector<Commit> commits;
   uint64_t index = 0;
   int64_t now = 0;
   const auto steps =
       *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 60));
-  for (const int step : steps) {
-    now += step;
-    if (step % 2 == 0) {
+  for (const int delay : steps) {
+    now += delay;
+    if (delay % 2 == 0) {
       commits.push_back({now, {1, ++index}});
     } else {
       marks.Record(At(now), {1, index});
     }
     const int64_t moment = now - *rc::gen::inRange(0, 500);
-    const auto mark = marks.Covering(At(moment));
+    const auto mark = marks.OldestSince(At(moment));
     if (!mark.has_value()) continue;
     for (const Commit& commit : commits) {
       if (commit.at < moment) RC_ASSERT(commit.position <= mark->position);
--- a/testsuite/support/group/checks.h
+++ b/testsuite/support/group/checks.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Small helpers that the tests of a group share.
+// Helpers for the tests of a group.
 
 #include <memory>
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace ryefold::test {
 
-/// A group at rest with one keeper.
+/// Returns an idle group with one keeper.
 inline std::unique_ptr<FakeGroup> ReadyGroup(GroupShape shape = Tamworth(),
                                              uint64_t seed = 7) {
   auto group = std::make_unique<FakeGroup>(std::move(shape), seed);
@@ -19,20 +19,20 @@
   return group;
 }
 
-/// What `HealAndCheck` found, one line each.
-inline std::string Text(const std::vector<std::string>& wrong) {
+/// Returns the findings of `HealAndCheck`, one per line.
+inline std::string JoinLines(const std::vector<std::string>& errors) {
   std::string text;
-  for (const std::string& line : wrong) text += line + "\n";
+  for (const std::string& line : errors) text += line + "\n";
   return text;
 }
 
-/// Promote calls that all keepers have made.
-inline uint64_t Promotions(FakeGroup& group) {
+/// Returns the number of promote calls of all keepers.
+inline uint64_t CountPromotions(FakeGroup& group) {
   uint64_t count = 0;
   for (size_t i = 0; i < group.keepers(); ++i) {
-    for (const auto& [name, times] :
+    for (const auto& [name, calls] :
          group.keeper(static_cast<int>(i)).promotions) {
-      count += times;
+      count += calls;
     }
   }
   return count;
